--- a/example/Toy.java
+++ b/example/Toy.java
@@ -23,7 +23,8 @@
             serve(port, exchange -> {
                 exchange.getRequestBody().readAllBytes();
                 sleep(pause);
-                String body = exchange.getRequestMethod() + " " + exchange.getRequestURI() + " served at " + port + "\n";
+                String body =
+                        exchange.getRequestMethod() + " " + exchange.getRequestURI() + " served at " + port + "\n";
                 answer(exchange, body);
             });
         }
@@ -50,8 +51,12 @@
     private static void list(HttpExchange exchange) throws IOException {
         StringBuilder entries = new StringBuilder();
         for (int port : ENDPOINTS) {
-            entries.append(entries.isEmpty() ? "" : ",").append("{\"name\":\"toy-").append(port)
-                    .append("\",\"address\":\"127.0.0.1:").append(port).append("\",\"zone\":\"here\",\"type\":\"toy\",")
+            entries.append(entries.isEmpty() ? "" : ",")
+                    .append("{\"name\":\"toy-")
+                    .append(port)
+                    .append("\",\"address\":\"127.0.0.1:")
+                    .append(port)
+                    .append("\",\"zone\":\"here\",\"type\":\"toy\",")
                     .append("\"group\":0,\"status\":\"active\",\"weight\":1.0,\"since_ms\":0}");
         }
         exchange.sendResponseHeaders(200, 0);
--- a/lab/src/main/java/trestlegrade/lab/Lab.java
+++ b/lab/src/main/java/trestlegrade/lab/Lab.java
@@ -8,8 +8,12 @@
 import trestlegrade.lab.soak.SoakCommand;
 
 /** The laboratory's command line. */
-@Command(name = "lab", mixinStandardHelpOptions = true, version = "trestlegrade lab 0.1.0",
-        description = "Experiments with the built program.", subcommands = SoakCommand.class)
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        version = "trestlegrade lab 0.1.0",
+        description = "Experiments with the built program.",
+        subcommands = SoakCommand.class)
 public final class Lab implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
--- a/lab/src/main/java/trestlegrade/lab/MachineLateness.java
+++ b/lab/src/main/java/trestlegrade/lab/MachineLateness.java
@@ -6,7 +6,7 @@
 public final class MachineLateness {
     private static final long TICK_MILLISECONDS = 5;
 
-    private MachineLateness() { }
+    private MachineLateness() {}
 
     /** Tells of each lateness in nanoseconds that is over the usual one, until the thread is interrupted. */
     public static void watch(long usual, LongConsumer late) throws InterruptedException {
--- a/lab/src/main/java/trestlegrade/lab/soak/Application.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Application.java
@@ -18,12 +18,14 @@
 final class Application {
     /** How long behind its deadline a client still listens, to tell a late answer from none. */
     private static final int LISTENS_ON_MILLISECONDS = 1_500;
+
     private static final int MEAN_PAUSE_MILLISECONDS = 60;
     private static final int LONGEST_IDLE_MILLISECONDS = 11_000;
     private static final int PIPELINED = 3;
     private static final int LONG_BODY = 60_000;
     /** A connection that stood so long without a request may be closed as one that carried some. */
     private static final long RESTED_NANOSECONDS = 500_000_000;
+
     private static final int HALF_REQUEST_HELD_MILLISECONDS = 6_000;
     private static final AtomicLong IDS = new AtomicLong();
 
@@ -37,7 +39,7 @@
     private long end;
 
     /** A request that was written. */
-    private record Open(String id, long deadline) { }
+    private record Open(String id, long deadline) {}
 
     Application(SidecarProcess sidecar, Recorder recorder, UniformRandomProvider random) {
         this.sidecar = sidecar;
@@ -102,9 +104,10 @@
         String id = "r" + IDS.incrementAndGet();
         int patience = Settings.SHORTEST_DEADLINE + random.nextInt(repeatable ? 1_200 : 2_600);
         int length = repeatable ? 0 : random.nextInt(20) == 0 ? LONG_BODY : random.nextInt(300);
-        byte[] bytes = ((repeatable ? "GET /read" : "POST /write") + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + id + "\r\nX-Qos: "
-                + (repeatable ? "read" : "write") + "\r\nX-Expires-In: " + patience + "m\r\n"
-                + (repeatable ? "" : "Content-Length: " + length + "\r\n") + "\r\n" + "b".repeat(length))
+        byte[] bytes = ((repeatable ? "GET /read" : "POST /write") + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + id
+                        + "\r\nX-Qos: "
+                        + (repeatable ? "read" : "write") + "\r\nX-Expires-In: " + patience + "m\r\n"
+                        + (repeatable ? "" : "Content-Length: " + length + "\r\n") + "\r\n" + "b".repeat(length))
                 .getBytes(StandardCharsets.ISO_8859_1);
         for (int i = 0; i < parts; i++) {
             int from = bytes.length * i / parts;
@@ -112,7 +115,8 @@
             long deadline = System.nanoTime() + patience * 1_000_000L;
             if (i == parts - 1) {
                 // Before the write, so that no attempt is seen before its request.
-                recorder.add(new Event.RequestSent(System.nanoTime(), id, sidecar.name(), repeatable, deadline, reused));
+                recorder.add(
+                        new Event.RequestSent(System.nanoTime(), id, sidecar.name(), repeatable, deadline, reused));
             }
             try {
                 socket.getOutputStream().write(bytes, from, to - from);
@@ -180,8 +184,10 @@
         } catch (SocketTimeoutException e) {
             recorder.add(new Event.NoAnswer(System.nanoTime(), open.id));
         } catch (IOException e) {
-            recorder.add(reader.offset() > before ? new Event.AnswerBroken(System.nanoTime(), open.id, e.getMessage())
-                    : new Event.ConnectionLost(System.nanoTime(), open.id, e.getMessage()));
+            recorder.add(
+                    reader.offset() > before
+                            ? new Event.AnswerBroken(System.nanoTime(), open.id, e.getMessage())
+                            : new Event.ConnectionLost(System.nanoTime(), open.id, e.getMessage()));
         }
         throw new IOException("no answer");
     }
@@ -196,7 +202,8 @@
     }
 
     private void stopHalfWay() throws IOException {
-        socket.getOutputStream().write("POST /write HTTP/1.1\r\nHost: h\r\nContent-Len".getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream()
+                .write("POST /write HTTP/1.1\r\nHost: h\r\nContent-Len".getBytes(StandardCharsets.US_ASCII));
         long stopped = System.nanoTime();
         socket.setSoTimeout(HALF_REQUEST_HELD_MILLISECONDS);
         try {
--- a/lab/src/main/java/trestlegrade/lab/soak/Auditor.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Auditor.java
@@ -17,6 +17,7 @@
     private static final long SENT_AFTER_CLOSE = TimeUnit.MILLISECONDS.toNanos(100);
     /** Each time limit is so much longer on sockets. */
     private static final long SLACK = TimeUnit.MILLISECONDS.toNanos(50);
+
     private static final long DEADLINE_SLACK = TimeUnit.MILLISECONDS.toNanos(150);
     private static final long GRACE = TimeUnit.MILLISECONDS.toNanos(Settings.DRAIN_GRACE);
     private static final long TOLD_AFTER = TimeUnit.SECONDS.toNanos(6);
@@ -25,6 +26,7 @@
     private static final long HELD_UP = TimeUnit.MILLISECONDS.toNanos(150);
     /** Of this rig, one after the other, from a sidecar's write to the time that is noted: each is late on a busy machine. */
     private static final int THREADS_ON_THE_WAY = 3;
+
     private static final int KILLED = 137;
     /** Characters of a text that a story shows. */
     private static final int SHOWN = 160;
@@ -65,13 +67,18 @@
                 request.runs.add(run);
             }
         } else if (event instanceof Event.Excused excused) {
-            excuses.computeIfAbsent(excused.sidecar(), name -> new ArrayList<>()).add(excused);
+            excuses.computeIfAbsent(excused.sidecar(), name -> new ArrayList<>())
+                    .add(excused);
         } else if (event instanceof Event.MachineLate late) {
             machineLate.merge(late.at(), late.late(), Long::sum);
         } else if (event instanceof Event.ServerLeaves leaves) {
-            ofServers.computeIfAbsent(leaves.server(), name -> new ArrayList<>()).add(event);
+            ofServers
+                    .computeIfAbsent(leaves.server(), name -> new ArrayList<>())
+                    .add(event);
         } else if (event instanceof Event.ServerReturns returns) {
-            ofServers.computeIfAbsent(returns.server(), name -> new ArrayList<>()).add(event);
+            ofServers
+                    .computeIfAbsent(returns.server(), name -> new ArrayList<>())
+                    .add(event);
         } else if (event instanceof Event.LeaveTold told) {
             ofServers.computeIfAbsent(told.server(), name -> new ArrayList<>()).add(event);
         } else if (event instanceof Event.DiscoveryDown || event instanceof Event.DiscoveryUp) {
@@ -94,7 +101,8 @@
     }
 
     int requests() {
-        return (int) requests.values().stream().filter(each -> each.sent != null).count();
+        return (int)
+                requests.values().stream().filter(each -> each.sent != null).count();
     }
 
     int attempts() {
@@ -122,7 +130,11 @@
                 ended = true;
                 boolean crossed = sent.reused() && request.attempts.isEmpty();
                 boolean unread = request.attempts.isEmpty() && excused(request, "crowd");
-                breach(Rule.ANSWER, id, request, "connection ended with no answer: " + lost.cause(),
+                breach(
+                        Rule.ANSWER,
+                        id,
+                        request,
+                        "connection ended with no answer: " + lost.cause(),
                         crossed || unread || excused(request, "paused", "killed"));
             }
         }
@@ -131,14 +143,23 @@
 
     private void answer(String id, Request request, Event.AnswerRead answer) {
         long late = answer.at() - request.sent.deadline();
-        breach(Rule.ANSWER, id, request, "answered " + milliseconds(late) + " ms behind its deadline",
-                late <= LATE_ANSWER + allowance(request.sent.sidecar(), answer.at()) || excused(request, "paused", "killed"));
+        breach(
+                Rule.ANSWER,
+                id,
+                request,
+                "answered " + milliseconds(late) + " ms behind its deadline",
+                late <= LATE_ANSWER + allowance(request.sent.sidecar(), answer.at())
+                        || excused(request, "paused", "killed"));
         if (answer.status() == 200) {
             boolean own = request.runs.stream().anyMatch(run -> answer.body().equals(id + "|" + run.server()));
             breach(Rule.FOREIGN_ANSWER, id, request, "answered by '" + shortened(answer.body()) + "'", own);
         }
         boolean refused = answer.status() == 503 || answer.status() == 429;
-        breach(Rule.REFUSED_AFTER_RUN, id, request, "refused, and had run",
+        breach(
+                Rule.REFUSED_AFTER_RUN,
+                id,
+                request,
+                "refused, and had run",
                 !refused || request.sent.repeatable() || request.runs.isEmpty());
     }
 
@@ -149,12 +170,23 @@
         long closed = timeOf(request, Event.ClientClosed.class);
         for (Event.AttemptSeen attempt : request.attempts) {
             long allowance = allowance(request.sent.sidecar(), attempt.at());
-            breach(Rule.SENT_AFTER_ANSWER, id, request, "sent " + milliseconds(attempt.at() - answered) + " ms after its answer",
+            breach(
+                    Rule.SENT_AFTER_ANSWER,
+                    id,
+                    request,
+                    "sent " + milliseconds(attempt.at() - answered) + " ms after its answer",
                     attempt.at() - answered <= SLACK + allowance);
-            breach(Rule.SENT_AFTER_CLOSE, id, request, "sent " + milliseconds(attempt.at() - closed) + " ms after its client",
+            breach(
+                    Rule.SENT_AFTER_CLOSE,
+                    id,
+                    request,
+                    "sent " + milliseconds(attempt.at() - closed) + " ms after its client",
                     attempt.at() - closed <= SENT_AFTER_CLOSE + allowance);
             long left = request.sent.deadline() - attempt.at();
-            breach(Rule.DEADLINE_TOLD, id, request,
+            breach(
+                    Rule.DEADLINE_TOLD,
+                    id,
+                    request,
                     "told " + milliseconds(attempt.told()) + " ms with " + milliseconds(left) + " ms left",
                     attempt.told() <= left + DEADLINE_SLACK + allowance);
             drained(id, request, attempt, allowance);
@@ -163,8 +195,12 @@
 
     private void drained(String id, Request request, Event.AttemptSeen attempt, long allowance) {
         long told = told(request.sent.sidecar(), attempt.server(), attempt.at());
-        breach(Rule.DRAIN, id, request, "sent " + milliseconds(attempt.at() - told) + " ms after word that "
-                + attempt.server() + " leaves", told == Long.MAX_VALUE || attempt.at() <= told + GRACE + SLACK + allowance);
+        breach(
+                Rule.DRAIN,
+                id,
+                request,
+                "sent " + milliseconds(attempt.at() - told) + " ms after word that " + attempt.server() + " leaves",
+                told == Long.MAX_VALUE || attempt.at() <= told + GRACE + SLACK + allowance);
     }
 
     /** When a sidecar counts as told that a server has left at that time; the largest value if it has not left. */
@@ -188,8 +224,11 @@
             return Long.MAX_VALUE;
         }
         long since = left;
-        long restarted = starts.getOrDefault(sidecar, List.of()).stream().mapToLong(Event::at)
-                .filter(start -> start > since && start <= at).min().orElse(Long.MAX_VALUE);
+        long restarted = starts.getOrDefault(sidecar, List.of()).stream()
+                .mapToLong(Event::at)
+                .filter(start -> start > since && start <= at)
+                .min()
+                .orElse(Long.MAX_VALUE);
         return Math.min(Math.min(told, restarted), reachable(left) + TOLD_AFTER);
     }
 
@@ -210,7 +249,11 @@
     }
 
     private void ran(String id, Request request) {
-        breach(Rule.DUPLICATE, id, request, "ran " + request.runs.size() + " times",
+        breach(
+                Rule.DUPLICATE,
+                id,
+                request,
+                "ran " + request.runs.size() + " times",
                 request.sent.repeatable() || request.runs.size() <= 1);
     }
 
@@ -225,8 +268,12 @@
                 processBreach(Rule.PROCESS, never.sidecar(), "not ready in time", false, event);
             } else if (event instanceof Event.HalfRequestEnded half) {
                 boolean excused = overlaps(half.sidecar(), half.at() - half.held(), half.at(), "paused", "killed");
-                processBreach(Rule.HALF_REQUEST, half.sidecar(), "held half a request for " + milliseconds(half.held()) + " ms",
-                        excused || half.held() <= HALF_REQUEST_HELD + allowance(half.sidecar(), half.at()), event);
+                processBreach(
+                        Rule.HALF_REQUEST,
+                        half.sidecar(),
+                        "held half a request for " + milliseconds(half.held()) + " ms",
+                        excused || half.held() <= HALF_REQUEST_HELD + allowance(half.sidecar(), half.at()),
+                        event);
             }
         }
     }
@@ -251,8 +298,10 @@
         long to = request.story.get(request.story.size() - 1).at();
         List<String> lines = new ArrayList<>();
         for (Event event : events) {
-            boolean about = request.story.contains(event) || !(event instanceof Event.OfRequest)
-                    && !(event instanceof Event.MachineLate) && concerns(event, request);
+            boolean about = request.story.contains(event)
+                    || !(event instanceof Event.OfRequest)
+                            && !(event instanceof Event.MachineLate)
+                            && concerns(event, request);
             if (about && event.at() >= from && event.at() <= to) {
                 lines.add(line(event));
             }
@@ -264,13 +313,16 @@
         String sidecar = request.sent.sidecar();
         if (event instanceof Event.LeaveTold told) {
             return told.sidecar().equals(sidecar)
-                    && request.attempts.stream().anyMatch(attempt -> attempt.server().equals(told.server()));
+                    && request.attempts.stream()
+                            .anyMatch(attempt -> attempt.server().equals(told.server()));
         }
         if (event instanceof Event.ServerLeaves leaves) {
-            return request.attempts.stream().anyMatch(attempt -> attempt.server().equals(leaves.server()));
+            return request.attempts.stream()
+                    .anyMatch(attempt -> attempt.server().equals(leaves.server()));
         }
         if (event instanceof Event.ServerReturns returns) {
-            return request.attempts.stream().anyMatch(attempt -> attempt.server().equals(returns.server()));
+            return request.attempts.stream()
+                    .anyMatch(attempt -> attempt.server().equals(returns.server()));
         }
         return !event.toString().contains("sidecar=") || event.toString().contains("sidecar=" + sidecar + ",");
     }
@@ -285,7 +337,9 @@
 
     private boolean overlaps(String sidecar, long from, long to, String... reasons) {
         for (Event.Excused excused : excuses.getOrDefault(sidecar, List.of())) {
-            if (excused.at() <= to && excused.until() >= from && List.of(reasons).contains(excused.why())) {
+            if (excused.at() <= to
+                    && excused.until() >= from
+                    && List.of(reasons).contains(excused.why())) {
                 return true;
             }
         }
@@ -294,7 +348,8 @@
 
     private long allowance(String sidecar, long at) {
         long late = machineLate.subMap(at - TimeUnit.SECONDS.toNanos(2), at + LATE_ANSWER).values().stream()
-                .mapToLong(each -> each).sum();
+                .mapToLong(each -> each)
+                .sum();
         return THREADS_ON_THE_WAY * late + (overlaps(sidecar, at - HELD_UP, at, "held-up") ? HELD_UP : 0);
     }
 
@@ -303,7 +358,10 @@
     }
 
     private static long timeOf(Request request, Class<? extends Event> type) {
-        return request.story.stream().filter(type::isInstance).mapToLong(Event::at).findFirst()
+        return request.story.stream()
+                .filter(type::isInstance)
+                .mapToLong(Event::at)
+                .findFirst()
                 .orElse(Long.MAX_VALUE / 2);
     }
 
--- a/lab/src/main/java/trestlegrade/lab/soak/ByteTimes.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/ByteTimes.java
@@ -9,6 +9,7 @@
 
     /** The place behind the last byte of each chunk, and the chunk's time. */
     private final TreeMap<Long, Long> ends = new TreeMap<>();
+
     private long length;
 
     synchronized void add(int count, long at) {
--- a/lab/src/main/java/trestlegrade/lab/soak/Fault.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Fault.java
@@ -45,32 +45,39 @@
     }
 
     /** Which system calls of a sidecar fail. */
-    enum SystemCallTrouble { ACCEPT, SOCKET, CONNECT, SHORT_AND_INTERRUPTED, HELD_UP, WALL_CLOCK }
+    enum SystemCallTrouble {
+        ACCEPT,
+        SOCKET,
+        CONNECT,
+        SHORT_AND_INTERRUPTED,
+        HELD_UP,
+        WALL_CLOCK
+    }
 
     /** A server has a trouble. */
-    record AtServer(int start, int length, int server, ServerTrouble trouble) implements Fault { }
+    record AtServer(int start, int length, int server, ServerTrouble trouble) implements Fault {}
 
     /** A server drains, or vanishes at once; it is in the list again at the end of the trouble. */
-    record Leave(int start, int length, int server, boolean vanishes) implements Fault { }
+    record Leave(int start, int length, int server, boolean vanishes) implements Fault {}
 
     /** Discovery has a trouble. */
-    record AtDiscovery(int start, int length, DiscoveryTrouble trouble) implements Fault { }
+    record AtDiscovery(int start, int length, DiscoveryTrouble trouble) implements Fault {}
 
     /** System calls of a sidecar fail. */
-    record SystemCalls(int start, int length, int sidecar, SystemCallTrouble trouble, int draw) implements Fault { }
+    record SystemCalls(int start, int length, int sidecar, SystemCallTrouble trouble, int draw) implements Fault {}
 
     /** SIGTERM, SIGKILL once the longest deadline and 0.7 s are over, and a new process under the same name. */
-    record Restart(int start, int length, int sidecar) implements Fault { }
+    record Restart(int start, int length, int sidecar) implements Fault {}
 
     /** SIGKILL without a warning, and a new process. */
-    record Crash(int start, int length, int sidecar) implements Fault { }
+    record Crash(int start, int length, int sidecar) implements Fault {}
 
     /** SIGSTOP, and SIGCONT at the end. */
-    record Pause(int start, int length, int sidecar) implements Fault { }
+    record Pause(int start, int length, int sidecar) implements Fault {}
 
     /** SIGHUP: discovery is at another address from now on, and limits change; perhaps twice at once. */
-    record Reload(int start, int length, int sidecar, boolean twice) implements Fault { }
+    record Reload(int start, int length, int sidecar, boolean twice) implements Fault {}
 
     /** Clients that say nothing hold connections to a sidecar. */
-    record Crowd(int start, int length, int sidecar, int clients) implements Fault { }
+    record Crowd(int start, int length, int sidecar, int clients) implements Fault {}
 }
--- a/lab/src/main/java/trestlegrade/lab/soak/FaultProxy.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/FaultProxy.java
@@ -19,6 +19,7 @@
     private final Acceptor acceptor;
     /** By the port from which the relay connects to its target; ended ones stay, for what the target has yet to read. */
     private final Map<Integer, Link> links = new ConcurrentHashMap<>();
+
     private volatile long holdUpUntil;
     private volatile long holdDownUntil;
     private volatile int delayMilliseconds;
--- a/lab/src/main/java/trestlegrade/lab/soak/HttpMessage.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/HttpMessage.java
@@ -46,7 +46,9 @@
                 if (colon < 0) {
                     throw new IOException("no field: " + lines[i]);
                 }
-                fields.put(lines[i].substring(0, colon).toLowerCase(Locale.ROOT), lines[i].substring(colon + 1).strip());
+                fields.put(
+                        lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
+                        lines[i].substring(colon + 1).strip());
             }
             int length = Integer.parseInt(fields.getOrDefault("content-length", "0"));
             byte[] body = in.readNBytes(length);
--- a/lab/src/main/java/trestlegrade/lab/soak/Plan.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Plan.java
@@ -12,13 +12,20 @@
     private static final int QUIET_BEFORE = 1_500;
     /** Nothing begins later before the end: what it does is seen. */
     private static final int QUIET_AFTER = 4_000;
+
     private static final int MEAN_GAP = 900;
     /** What has to last longer than a sidecar may rely on a list that nobody confirms. */
     private static final int LONG = 2;
     /** The one behind an incident is drawn twice as often. */
-    private static final Fault.DiscoveryTrouble[] DISCOVERY_TROUBLES = {Fault.DiscoveryTrouble.DOWN,
-        Fault.DiscoveryTrouble.CROWDED, Fault.DiscoveryTrouble.CROWDED, Fault.DiscoveryTrouble.SLOW,
-        Fault.DiscoveryTrouble.SILENT, Fault.DiscoveryTrouble.RESET};
+    private static final Fault.DiscoveryTrouble[] DISCOVERY_TROUBLES = {
+        Fault.DiscoveryTrouble.DOWN,
+        Fault.DiscoveryTrouble.CROWDED,
+        Fault.DiscoveryTrouble.CROWDED,
+        Fault.DiscoveryTrouble.SLOW,
+        Fault.DiscoveryTrouble.SILENT,
+        Fault.DiscoveryTrouble.RESET
+    };
+
     private static final int LONGEST_PAUSE = 6_000;
 
     static Plan draw(long seed, int milliseconds, int sidecars, int servers) {
@@ -42,12 +49,16 @@
             case 0, 1, 2, 3 -> new Fault.AtServer(start, length, server, any(random, Fault.ServerTrouble.values()));
             case 4, 5, 6 -> new Fault.Leave(start, LONG * length, server, random.nextInt(4) == 0);
             case 7, 8 -> new Fault.AtDiscovery(start, LONG * length, any(random, DISCOVERY_TROUBLES));
-            case 9, 10 -> new Fault.SystemCalls(start, length, sidecar, any(random, Fault.SystemCallTrouble.values()),
-                    random.nextInt(1_000));
+            case 9, 10 ->
+                new Fault.SystemCalls(
+                        start, length, sidecar, any(random, Fault.SystemCallTrouble.values()), random.nextInt(1_000));
             case 11, 12 -> new Fault.Restart(start, length, sidecar);
-            case 13 -> random.nextBoolean() ? new Fault.Crash(start, length, sidecar)
-                    : new Fault.Reload(start, length, sidecar, random.nextInt(3) == 0);
-            case 14 -> new Fault.Pause(start, random.nextBoolean() ? 150 : 300 + random.nextInt(LONGEST_PAUSE), sidecar);
+            case 13 ->
+                random.nextBoolean()
+                        ? new Fault.Crash(start, length, sidecar)
+                        : new Fault.Reload(start, length, sidecar, random.nextInt(3) == 0);
+            case 14 ->
+                new Fault.Pause(start, random.nextBoolean() ? 150 : 300 + random.nextInt(LONGEST_PAUSE), sidecar);
             default -> new Fault.Crowd(start, length, sidecar, 100 + random.nextInt(300));
         };
     }
--- a/lab/src/main/java/trestlegrade/lab/soak/ProgramFiles.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/ProgramFiles.java
@@ -9,7 +9,7 @@
     static final String ARCHIVE = "sidecar/target/trestlegrade.jsa";
     static final String OPTIONS = "deploy/jvm.options";
 
-    private ProgramFiles() { }
+    private ProgramFiles() {}
 
     /** What is missing there, or null. */
     static String missing(Path root) {
--- a/lab/src/main/java/trestlegrade/lab/soak/Recorder.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Recorder.java
@@ -26,7 +26,9 @@
 
     /** Notes when the machine stands still, until the run ends. */
     void watchMachine(Background background) {
-        background.run("machine-lateness", () -> MachineLateness.watch(USUAL_LATENESS,
-                late -> add(new Event.MachineLate(System.nanoTime(), late))));
+        background.run(
+                "machine-lateness",
+                () -> MachineLateness.watch(
+                        USUAL_LATENESS, late -> add(new Event.MachineLate(System.nanoTime(), late))));
     }
 }
--- a/lab/src/main/java/trestlegrade/lab/soak/Settings.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Settings.java
@@ -13,26 +13,51 @@
     /** Two names for what a reload moves between: the longest time of a read. */
     static final int[] READ_LIMITS = {1_500, 2_000};
 
-    private Settings() { }
+    private Settings() {}
 
     /** The file that LB_CONFIG names. */
-    static ObjectNode file(String name, int port, int discoveryPort, int sidecars, long seed, int readLimit, ObjectNode list) {
-        ObjectNode file = JsonNodeFactory.instance.objectNode().put("name", name).put("listen", "127.0.0.1:" + port)
-                .put("discovery", "127.0.0.1:" + discoveryPort).put("seed", Long.toHexString(seed));
+    static ObjectNode file(
+            String name, int port, int discoveryPort, int sidecars, long seed, int readLimit, ObjectNode list) {
+        ObjectNode file = JsonNodeFactory.instance
+                .objectNode()
+                .put("name", name)
+                .put("listen", "127.0.0.1:" + port)
+                .put("discovery", "127.0.0.1:" + discoveryPort)
+                .put("seed", Long.toHexString(seed));
         file.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", DESCRIPTORS);
-        ObjectNode settings = file.putObject("settings").put("membership_mode", "on_request").put("weights", "off")
+        ObjectNode settings = file.putObject("settings")
+                .put("membership_mode", "on_request")
+                .put("weights", "off")
                 .put("n_instances", sidecars);
         settings.putArray("azs").add("a").add("b");
         settings.putArray("flavors").add("m1");
-        settings.putObject("ceilings").put("cancelling", true).put("dial_timeout", 250.0).put("keepalive", 10_000.0)
-                .put("max_hops", 3).put("retry_after", true).put("max_retry_after", 2_000.0);
+        settings.putObject("ceilings")
+                .put("cancelling", true)
+                .put("dial_timeout", 250.0)
+                .put("keepalive", 10_000.0)
+                .put("max_hops", 3)
+                .put("retry_after", true)
+                .put("max_retry_after", 2_000.0);
         ArrayNode profiles = settings.putArray("profiles");
-        profiles.addObject().put("name", "read").put("effect", "repeatable").put("service_goal", 500)
-                .put("hard_limit", readLimit).put("revenue", 2);
-        profiles.addObject().put("name", "write").put("effect", "once").put("service_goal", 600)
-                .put("hard_limit", LONGEST_DEADLINE).put("revenue", 9);
-        settings.putObject("safety").put("ask_within", 10_000).put("cold_from", 0.3).put("cold", 9_000)
-                .put("fall_multiple", 3).put("fall", 2_000).put("drain_grace", DRAIN_GRACE);
+        profiles.addObject()
+                .put("name", "read")
+                .put("effect", "repeatable")
+                .put("service_goal", 500)
+                .put("hard_limit", readLimit)
+                .put("revenue", 2);
+        profiles.addObject()
+                .put("name", "write")
+                .put("effect", "once")
+                .put("service_goal", 600)
+                .put("hard_limit", LONGEST_DEADLINE)
+                .put("revenue", 9);
+        settings.putObject("safety")
+                .put("ask_within", 10_000)
+                .put("cold_from", 0.3)
+                .put("cold", 9_000)
+                .put("fall_multiple", 3)
+                .put("fall", 2_000)
+                .put("drain_grace", DRAIN_GRACE);
         file.set("known", list);
         return file;
     }
--- a/lab/src/main/java/trestlegrade/lab/soak/Shrinker.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Shrinker.java
@@ -20,7 +20,7 @@
     Plan shrink(Plan plan) throws IOException, InterruptedException {
         Plan smallest = plan;
         for (int part = Math.max(1, plan.faults().size() / 2); part >= 1; part /= 2) {
-            for (int from = 0; from < smallest.faults().size() && playsLeft > 0;) {
+            for (int from = 0; from < smallest.faults().size() && playsLeft > 0; ) {
                 List<Fault> fewer = new ArrayList<>(smallest.faults());
                 fewer.subList(from, Math.min(fewer.size(), from + part)).clear();
                 Plan smaller = smallest.with(fewer);
--- a/lab/src/main/java/trestlegrade/lab/soak/SidecarProcess.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SidecarProcess.java
@@ -19,9 +19,11 @@
     private static final int FIRST_PORT = 10_000;
     private static final int PORTS = 20_000;
     /** Runs beside each other begin far apart. */
-    private static final AtomicInteger NEXT_PORT = new AtomicInteger((int) ProcessHandle.current().pid() * 211);
+    private static final AtomicInteger NEXT_PORT =
+            new AtomicInteger((int) ProcessHandle.current().pid() * 211);
     /** Behind SIGTERM new connections go on coming for so long. */
     private static final long CONNECTS_AFTER_TERM = TimeUnit.MILLISECONDS.toNanos(400);
+
     private static final int ASK_AGAIN_MILLISECONDS = 20;
     private static final int HEALTH_TIMEOUT_MILLISECONDS = 1_000;
 
@@ -41,12 +43,21 @@
     private AtomicBoolean asked = new AtomicBoolean();
     /** Which relay and limit the settings name. */
     private int settings;
+
     private volatile boolean open;
     private volatile long openUntil = Long.MAX_VALUE;
     private volatile long pausedUntil = Long.MIN_VALUE;
 
-    SidecarProcess(int index, int sidecars, long seed, Path folder, Path program, Path shimLibrary, Recorder recorder,
-                   StandInDiscovery discovery) throws IOException {
+    SidecarProcess(
+            int index,
+            int sidecars,
+            long seed,
+            Path folder,
+            Path program,
+            Path shimLibrary,
+            Recorder recorder,
+            StandInDiscovery discovery)
+            throws IOException {
         this.index = index;
         this.name = "n" + index;
         this.folder = Files.createDirectories(folder.resolve(name));
@@ -95,10 +106,17 @@
         asked = toldToEnd;
         openUntil = Long.MAX_VALUE;
         writeSettings();
-        ProcessBuilder builder = new ProcessBuilder("java", "-XX:SharedArchiveFile=" + ProgramFiles.ARCHIVE,
-                "@" + ProgramFiles.OPTIONS, "-jar", ProgramFiles.JAR, "serve")
-                .directory(program.toFile()).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
+        ProcessBuilder builder = new ProcessBuilder(
+                        "java",
+                        "-XX:SharedArchiveFile=" + ProgramFiles.ARCHIVE,
+                        "@" + ProgramFiles.OPTIONS,
+                        "-jar",
+                        ProgramFiles.JAR,
+                        "serve")
+                .directory(program.toFile())
+                .redirectErrorStream(true)
+                .redirectOutput(
+                        ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
         builder.environment().put("LB_CONFIG", folder.resolve("config.json").toString());
         builder.environment().putAll(shim.environment());
         process = builder.start();
@@ -120,8 +138,14 @@
     }
 
     private void writeSettings() throws IOException {
-        ObjectNode file = Settings.file(name, port, relays[settings % 2].port(), sidecars, seed,
-                Settings.READ_LIMITS[settings % 2], discovery.list());
+        ObjectNode file = Settings.file(
+                name,
+                port,
+                relays[settings % 2].port(),
+                sidecars,
+                seed,
+                Settings.READ_LIMITS[settings % 2],
+                discovery.list());
         ((ObjectNode) file.get("settings")).put("my_number", index);
         Files.writeString(folder.resolve("config.json"), file.toString());
     }
@@ -130,7 +154,8 @@
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), HEALTH_TIMEOUT_MILLISECONDS);
             socket.setSoTimeout(HEALTH_TIMEOUT_MILLISECONDS);
-            socket.getOutputStream().write("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             HttpMessage answer = new HttpMessage.Reader(socket.getInputStream()).next();
             return answer != null && answer.status() == 200;
         } catch (IOException e) {
@@ -153,7 +178,9 @@
                 openUntil = System.nanoTime() + CONNECTS_AFTER_TERM;
             }
             recorder.add(new Event.SignalSent(System.nanoTime(), name, signal));
-            new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
         }
     }
 
--- a/lab/src/main/java/trestlegrade/lab/soak/Soak.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Soak.java
@@ -21,14 +21,24 @@
     private static final int DELAY_MILLISECONDS = 200;
     /** From the last sidecar's start to the first client, for threads and classes on both sides. */
     private static final int WARM_MILLISECONDS = 1_000;
+
     private static final int SETTLES_MILLISECONDS = 5_000;
     private static final long HELD_UP_ONLY = TimeUnit.MILLISECONDS.toNanos(200);
     /** Microseconds by which the wall clock steps. */
     private static final long[] WALL_CLOCK_STEPS = {-3_600_000_000L, -5_000_000L, 5_000_000L, 3_600_000_000L};
-    private static final SystemCallShim.Errno[] ACCEPT_ERRORS = {SystemCallShim.Errno.ECONNABORTED,
-        SystemCallShim.Errno.EMFILE, SystemCallShim.Errno.ENFILE, SystemCallShim.Errno.ENOBUFS};
-    private static final SystemCallShim.Errno[] CONNECT_ERRORS = {SystemCallShim.Errno.EADDRNOTAVAIL,
-        SystemCallShim.Errno.ENETUNREACH, SystemCallShim.Errno.ETIMEDOUT, SystemCallShim.Errno.EHOSTUNREACH};
+
+    private static final SystemCallShim.Errno[] ACCEPT_ERRORS = {
+        SystemCallShim.Errno.ECONNABORTED,
+        SystemCallShim.Errno.EMFILE,
+        SystemCallShim.Errno.ENFILE,
+        SystemCallShim.Errno.ENOBUFS
+    };
+    private static final SystemCallShim.Errno[] CONNECT_ERRORS = {
+        SystemCallShim.Errno.EADDRNOTAVAIL,
+        SystemCallShim.Errno.ENETUNREACH,
+        SystemCallShim.Errno.ETIMEDOUT,
+        SystemCallShim.Errno.EHOSTUNREACH
+    };
 
     private final Plan plan;
     private final Path folder;
@@ -47,8 +57,15 @@
     }
 
     /** What a run has shown. */
-    public record Result(long seed, int sidecars, int faults, int requests, int attempts, long served, List<Breach> breaches,
-                         long machineLateMilliseconds) { }
+    public record Result(
+            long seed,
+            int sidecars,
+            int faults,
+            int requests,
+            int attempts,
+            long served,
+            List<Breach> breaches,
+            long machineLateMilliseconds) {}
 
     /** Plays the plan of a seed; the program is the root of a project that was built. */
     public static Result play(long seed, int milliseconds, int sidecars, int servers, Path program)
@@ -71,8 +88,8 @@
             long end = start + plan.milliseconds() * 1_000_000L;
             for (SidecarProcess sidecar : sidecars) {
                 for (int i = 0; i < CLIENTS_PER_SIDECAR; i++) {
-                    Application client = new Application(sidecar, recorder,
-                            Plan.random(plan.seed(), sidecar.name() + " client " + i));
+                    Application client = new Application(
+                            sidecar, recorder, Plan.random(plan.seed(), sidecar.name() + " client " + i));
                     background.run("client", () -> client.runUntil(end));
                 }
             }
@@ -104,7 +121,8 @@
             discovery.first(server.name(), server.proxy().port(), i % 2 == 0 ? "a" : "b");
         }
         for (int i = 0; i < plan.sidecars(); i++) {
-            sidecars.add(new SidecarProcess(i, plan.sidecars(), plan.seed(), folder, program, shim, recorder, discovery));
+            sidecars.add(
+                    new SidecarProcess(i, plan.sidecars(), plan.seed(), folder, program, shim, recorder, discovery));
             changing.add(new AtomicBoolean());
         }
         recorder.watchMachine(background);
@@ -117,11 +135,23 @@
         List<Event> events = recorder.events();
         Auditor auditor = new Auditor(events);
         List<Breach> breaches = auditor.audit();
-        long served = events.stream().filter(each -> each instanceof Event.AnswerRead answer && answer.status() == 200).count();
-        long late = events.stream().filter(Event.MachineLate.class::isInstance)
-                .mapToLong(each -> ((Event.MachineLate) each).late()).max().orElse(0);
-        return new Result(plan.seed(), plan.sidecars(), plan.faults().size(), auditor.requests(), auditor.attempts(), served,
-                breaches, TimeUnit.NANOSECONDS.toMillis(late));
+        long served = events.stream()
+                .filter(each -> each instanceof Event.AnswerRead answer && answer.status() == 200)
+                .count();
+        long late = events.stream()
+                .filter(Event.MachineLate.class::isInstance)
+                .mapToLong(each -> ((Event.MachineLate) each).late())
+                .max()
+                .orElse(0);
+        return new Result(
+                plan.seed(),
+                plan.sidecars(),
+                plan.faults().size(),
+                auditor.requests(),
+                auditor.attempts(),
+                served,
+                breaches,
+                TimeUnit.NANOSECONDS.toMillis(late));
     }
 
     // -------------------------------------------------- faults
@@ -152,7 +182,8 @@
         } else if (fault instanceof Fault.Crowd crowd) {
             SidecarProcess sidecar = sidecars.get(crowd.sidecar());
             // Descriptors come free a while behind their end.
-            recorder.add(new Event.Excused(System.nanoTime(), sidecar.name(), end + TimeUnit.SECONDS.toNanos(1), "crowd"));
+            recorder.add(
+                    new Event.Excused(System.nanoTime(), sidecar.name(), end + TimeUnit.SECONDS.toNanos(1), "crowd"));
             Application.crowd(sidecar, crowd.clients(), end);
         }
     }
@@ -230,7 +261,7 @@
             case DOWN -> discovery.down(false);
             case CROWDED -> discovery.crowded(false);
             case SLOW -> discovery.slow(false);
-            case SILENT, RESET -> { }
+            case SILENT, RESET -> {}
         }
     }
 
@@ -238,12 +269,24 @@
         SidecarProcess sidecar = sidecars.get(fault.sidecar());
         SystemCallShim shim = sidecar.shim();
         switch (fault.trouble()) {
-            case ACCEPT -> shim.fail(SystemCallShim.Field.ACCEPT_ERRNO, SystemCallShim.Field.ACCEPT_RATE,
-                    ACCEPT_ERRORS[fault.draw() % ACCEPT_ERRORS.length], FAILING_RATE);
-            case SOCKET -> shim.fail(SystemCallShim.Field.SOCKET_ERRNO, SystemCallShim.Field.SOCKET_RATE,
-                    SystemCallShim.Errno.ENFILE, FAILING_RATE);
-            case CONNECT -> shim.fail(SystemCallShim.Field.CONNECT_ERRNO, SystemCallShim.Field.CONNECT_RATE,
-                    CONNECT_ERRORS[fault.draw() % CONNECT_ERRORS.length], FAILING_RATE);
+            case ACCEPT ->
+                shim.fail(
+                        SystemCallShim.Field.ACCEPT_ERRNO,
+                        SystemCallShim.Field.ACCEPT_RATE,
+                        ACCEPT_ERRORS[fault.draw() % ACCEPT_ERRORS.length],
+                        FAILING_RATE);
+            case SOCKET ->
+                shim.fail(
+                        SystemCallShim.Field.SOCKET_ERRNO,
+                        SystemCallShim.Field.SOCKET_RATE,
+                        SystemCallShim.Errno.ENFILE,
+                        FAILING_RATE);
+            case CONNECT ->
+                shim.fail(
+                        SystemCallShim.Field.CONNECT_ERRNO,
+                        SystemCallShim.Field.CONNECT_RATE,
+                        CONNECT_ERRORS[fault.draw() % CONNECT_ERRORS.length],
+                        FAILING_RATE);
             case SHORT_AND_INTERRUPTED -> {
                 shim.set(SystemCallShim.Field.SHORT_RATE, FAILING_RATE);
                 shim.set(SystemCallShim.Field.INTERRUPT_RATE, INTERRUPT_RATE);
@@ -253,8 +296,10 @@
                 shim.set(SystemCallShim.Field.HOLD_MICROSECONDS, HELD_UP_MICROSECONDS);
                 shim.set(SystemCallShim.Field.HOLD_RATE, HELD_UP_RATE);
             }
-            case WALL_CLOCK -> shim.set(SystemCallShim.Field.WALL_CLOCK_MICROSECONDS,
-                    WALL_CLOCK_STEPS[fault.draw() % WALL_CLOCK_STEPS.length]);
+            case WALL_CLOCK ->
+                shim.set(
+                        SystemCallShim.Field.WALL_CLOCK_MICROSECONDS,
+                        WALL_CLOCK_STEPS[fault.draw() % WALL_CLOCK_STEPS.length]);
         }
         sleepUntil(end);
         switch (fault.trouble()) {
--- a/lab/src/main/java/trestlegrade/lab/soak/SoakCommand.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SoakCommand.java
@@ -11,28 +11,47 @@
 import picocli.CommandLine.Spec;
 
 /** {@code lab soak}: plays one seed after the other, and tells of each breach. */
-@Command(name = "soak", mixinStandardHelpOptions = true,
+@Command(
+        name = "soak",
+        mixinStandardHelpOptions = true,
         description = "Plays drawn faults against real processes of the built program, on loopback alone.")
 public final class SoakCommand implements Callable<Integer> {
     private static final int SHORTEST_SECONDS = 8;
     /** Of one run. */
     private static final int PRINTED_BREACHES = 10;
+
     private static final int SHRINKING_PLAYS = 24;
 
     @Spec
     private CommandSpec spec;
+
     @Option(names = "--seed", required = true, description = "The first seed.")
     private long seed;
-    @Option(names = "--runs", defaultValue = "1", description = "How many seeds from there on (default ${DEFAULT-VALUE}).")
+
+    @Option(
+            names = "--runs",
+            defaultValue = "1",
+            description = "How many seeds from there on (default ${DEFAULT-VALUE}).")
     private int runs;
-    @Option(names = "--seconds", defaultValue = "25", description = "How long faults and clients go on (default ${DEFAULT-VALUE}).")
+
+    @Option(
+            names = "--seconds",
+            defaultValue = "25",
+            description = "How long faults and clients go on (default ${DEFAULT-VALUE}).")
     private int seconds;
+
     @Option(names = "--processes", defaultValue = "3", description = "Sidecars (default ${DEFAULT-VALUE}).")
     private int processes;
+
     @Option(names = "--servers", defaultValue = "6", description = "Servers (default ${DEFAULT-VALUE}).")
     private int servers;
-    @Option(names = "--program", defaultValue = ".", description = "The root of a project that was built (default here).")
+
+    @Option(
+            names = "--program",
+            defaultValue = ".",
+            description = "The root of a project that was built (default here).")
     private Path program;
+
     @Option(names = "--shrink", description = "Look for fewer faults that break the first rule broken.")
     private boolean shrink;
 
@@ -44,12 +63,23 @@
         for (long each = seed; each < seed + runs; each++) {
             Plan plan = Plan.draw(each, seconds * 1_000, processes, servers);
             Soak.Result result = Soak.play(plan, program.toAbsolutePath());
-            System.out.printf("%d %d %d %d %d %d %d %d%n", each, processes, result.faults(), result.requests(),
-                    result.attempts(), result.served(), result.breaches().size(), result.machineLateMilliseconds());
+            System.out.printf(
+                    "%d %d %d %d %d %d %d %d%n",
+                    each,
+                    processes,
+                    result.faults(),
+                    result.requests(),
+                    result.attempts(),
+                    result.served(),
+                    result.breaches().size(),
+                    result.machineLateMilliseconds());
             result.breaches().stream().limit(PRINTED_BREACHES).forEach(System.out::println);
             breaches += result.breaches().size();
             if (shrink && !result.breaches().isEmpty()) {
-                Plan smallest = new Shrinker(program.toAbsolutePath(), result.breaches().get(0).rule(), SHRINKING_PLAYS)
+                Plan smallest = new Shrinker(
+                                program.toAbsolutePath(),
+                                result.breaches().get(0).rule(),
+                                SHRINKING_PLAYS)
                         .shrink(plan);
                 System.out.println("smallest: " + smallest.faults());
             }
--- a/lab/src/main/java/trestlegrade/lab/soak/StandInDiscovery.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/StandInDiscovery.java
@@ -25,8 +25,15 @@
     /** What is listed of one server. */
     private record Row(String name, int port, String zone, String status, long since) {
         ObjectNode json() {
-            return JsonNodeFactory.instance.objectNode().put("name", name).put("address", "127.0.0.1:" + port)
-                    .put("zone", zone).put("type", "m1").put("group", 0).put("status", status).put("weight", 1.0)
+            return JsonNodeFactory.instance
+                    .objectNode()
+                    .put("name", name)
+                    .put("address", "127.0.0.1:" + port)
+                    .put("zone", zone)
+                    .put("type", "m1")
+                    .put("group", 0)
+                    .put("status", status)
+                    .put("weight", 1.0)
                     .put("since_ms", since);
         }
     }
@@ -37,6 +44,7 @@
     private final Map<String, Row> rows = new LinkedHashMap<>();
     /** The change with index i + 2; the list begins with index 1. */
     private final List<Row> changes = new ArrayList<>();
+
     private final Map<FaultProxy, String> relays = new ConcurrentHashMap<>();
     private final Set<Socket> watches = ConcurrentHashMap.newKeySet();
     private volatile boolean crowded;
@@ -68,7 +76,10 @@
     }
 
     private ObjectNode line(boolean whole, ArrayNode entries) {
-        ObjectNode line = JsonNodeFactory.instance.objectNode().put("index", changes.size() + 1).put("snapshot", whole);
+        ObjectNode line = JsonNodeFactory.instance
+                .objectNode()
+                .put("index", changes.size() + 1)
+                .put("snapshot", whole);
         line.set("endpoints", entries);
         return line;
     }
@@ -79,8 +90,10 @@
         Row changed = new Row(server, row.port, row.zone, status, since);
         rows.put(server, changed);
         changes.add(changed);
-        recorder.add(status.equals("active") ? new Event.ServerReturns(System.nanoTime(), server)
-                : new Event.ServerLeaves(System.nanoTime(), server));
+        recorder.add(
+                status.equals("active")
+                        ? new Event.ServerReturns(System.nanoTime(), server)
+                        : new Event.ServerLeaves(System.nanoTime(), server));
         notifyAll();
     }
 
@@ -163,8 +176,12 @@
             if (!news.isEmpty()) {
                 ArrayNode entries = JsonNodeFactory.instance.arrayNode();
                 news.forEach(row -> entries.add(row.json()));
-                line = JsonNodeFactory.instance.objectNode().put("index", told).put("snapshot", false)
-                        .set("endpoints", entries).toString();
+                line = JsonNodeFactory.instance
+                        .objectNode()
+                        .put("index", told)
+                        .put("snapshot", false)
+                        .set("endpoints", entries)
+                        .toString();
             }
             line += "\n";
             out.write((Integer.toHexString(line.length()) + "\r\n" + line + "\r\n").getBytes(StandardCharsets.UTF_8));
@@ -191,8 +208,10 @@
         for (Map.Entry<FaultProxy, String> each : relays.entrySet()) {
             FaultProxy.Link link = each.getKey().link(socket.getPort());
             if (link != null && !link.closed() && !each.getKey().holdsAnswers()) {
-                news.stream().filter(row -> !row.status.equals("active")).forEach(row ->
-                        recorder.add(new Event.LeaveTold(System.nanoTime(), each.getValue(), row.name)));
+                news.stream()
+                        .filter(row -> !row.status.equals("active"))
+                        .forEach(
+                                row -> recorder.add(new Event.LeaveTold(System.nanoTime(), each.getValue(), row.name)));
             }
         }
     }
--- a/lab/src/main/java/trestlegrade/lab/soak/StandInServer.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/StandInServer.java
@@ -69,8 +69,9 @@
     /** One request by the relay, so that no thread or class of this rig is new to the first of the sidecars'. */
     void warmUp() throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), proxy.port())) {
-            socket.getOutputStream().write("GET /warm-up HTTP/1.1\r\nX-Trace-Id: warm-up\r\nX-Expires-In: 1m\r\n\r\n"
-                    .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write("GET /warm-up HTTP/1.1\r\nX-Trace-Id: warm-up\r\nX-Expires-In: 1m\r\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
             new HttpMessage.Reader(socket.getInputStream()).next();
         }
     }
@@ -86,8 +87,8 @@
                 if (link == null || id == null) {
                     return;
                 }
-                recorder.add(new Event.AttemptSeen(link.timeOf(request.begins()), id, name,
-                        HttpMessage.span(request.field("x-expires-in"))));
+                recorder.add(new Event.AttemptSeen(
+                        link.timeOf(request.begins()), id, name, HttpMessage.span(request.field("x-expires-in"))));
                 if (!answer(socket, id)) {
                     return;
                 }
--- a/lab/src/main/java/trestlegrade/lab/soak/SystemCallShim.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SystemCallShim.java
@@ -16,20 +16,39 @@
     /** In the order of the C enumeration; rates are in thousandths of the calls. */
     public enum Field {
         SEED,
-        ACCEPT_ERRNO, ACCEPT_RATE, ACCEPT_DONE,
-        SOCKET_ERRNO, SOCKET_RATE, SOCKET_DONE,
-        CONNECT_ERRNO, CONNECT_RATE, CONNECT_DONE,
-        TRANSFER_ERRNO, TRANSFER_RATE, TRANSFER_DONE,
-        SHORT_RATE, SHORT_DONE,
-        INTERRUPT_RATE, INTERRUPT_DONE,
-        HOLD_MICROSECONDS, HOLD_RATE, HOLD_DONE,
+        ACCEPT_ERRNO,
+        ACCEPT_RATE,
+        ACCEPT_DONE,
+        SOCKET_ERRNO,
+        SOCKET_RATE,
+        SOCKET_DONE,
+        CONNECT_ERRNO,
+        CONNECT_RATE,
+        CONNECT_DONE,
+        TRANSFER_ERRNO,
+        TRANSFER_RATE,
+        TRANSFER_DONE,
+        SHORT_RATE,
+        SHORT_DONE,
+        INTERRUPT_RATE,
+        INTERRUPT_DONE,
+        HOLD_MICROSECONDS,
+        HOLD_RATE,
+        HOLD_DONE,
         WALL_CLOCK_MICROSECONDS
     }
 
     /** The numbers that they have on all usual machines with Linux. */
     public enum Errno {
-        ENOMEM(12), ENFILE(23), EMFILE(24), EADDRNOTAVAIL(99), ENETUNREACH(101), ECONNABORTED(103), ENOBUFS(105),
-        ETIMEDOUT(110), EHOSTUNREACH(113);
+        ENOMEM(12),
+        ENFILE(23),
+        EMFILE(24),
+        EADDRNOTAVAIL(99),
+        ENETUNREACH(101),
+        ECONNABORTED(103),
+        ENOBUFS(105),
+        ETIMEDOUT(110),
+        EHOSTUNREACH(113);
 
         private final int number;
 
@@ -65,8 +84,21 @@
             Files.copy(in, source, StandardCopyOption.REPLACE_EXISTING);
         }
         Path library = folder.resolve("system-call-shim.so");
-        int status = new ProcessBuilder("cc", "-shared", "-fPIC", "-O2", "-Wall", "-Wextra", "-Werror", "-o",
-                library.toString(), source.toString(), "-ldl").inheritIO().start().waitFor();
+        int status = new ProcessBuilder(
+                        "cc",
+                        "-shared",
+                        "-fPIC",
+                        "-O2",
+                        "-Wall",
+                        "-Wextra",
+                        "-Werror",
+                        "-o",
+                        library.toString(),
+                        source.toString(),
+                        "-ldl")
+                .inheritIO()
+                .start()
+                .waitFor();
         if (status != 0) {
             throw new IOException("the C compiler ended with status " + status);
         }
--- a/lab/src/test/java/trestlegrade/lab/soak/AuditorTest.java
+++ b/lab/src/test/java/trestlegrade/lab/soak/AuditorTest.java
@@ -25,7 +25,12 @@
                 planted(Rule.ANSWER, read(), seen(2, 900), new Event.ConnectionLost(AT + 9 * MS, "x", "closed")),
                 planted(Rule.ANSWER, read(), new Event.AnswerBroken(AT + 9 * MS, "x", "half")),
                 planted(Rule.ANSWER, read(), seen(2, 900), ran(3)),
-                planted(Rule.FOREIGN_ANSWER, read(), seen(2, 900), ran(3), new Event.AnswerRead(AT + 9 * MS, "x", 200, "y|s")),
+                planted(
+                        Rule.FOREIGN_ANSWER,
+                        read(),
+                        seen(2, 900),
+                        ran(3),
+                        new Event.AnswerRead(AT + 9 * MS, "x", 200, "y|s")),
                 planted(Rule.SENT_AFTER_ANSWER, read(), answered(10, 503), seen(100, 800)),
                 planted(Rule.SENT_AFTER_CLOSE, read(), new Event.ClientClosed(AT + 5 * MS, "x"), seen(120, 800)),
                 planted(Rule.DUPLICATE, write(), seen(2, 900), ran(3), seen(20, 900), ran(21), answered(30, 200)),
@@ -43,15 +48,34 @@
     static Stream<Arguments> allowed() {
         return Stream.of(
                 planted(null, read(), seen(2, 900), ran(3), answered(1_480, 200)),
-                planted(null, new Event.RequestSent(AT, "x", "n0", true, AT + 1_000 * MS, true),
+                planted(
+                        null,
+                        new Event.RequestSent(AT, "x", "n0", true, AT + 1_000 * MS, true),
                         new Event.ConnectionLost(AT + 9 * MS, "x", "closed")),
                 planted(null, read(), new Event.ClientClosed(AT + 5 * MS, "x"), seen(90, 800)),
                 planted(null, leaves(-1_200), told(-1_000), read(), seen(2, 900), ran(3), answered(9, 200)),
-                planted(null, leaves(-9_000), told(-8_000), new Event.ServerReturns(AT - 500 * MS, "s"), read(), seen(2, 900),
-                        ran(3), answered(9, 200)),
-                planted(null, leaves(-8_000), new Event.DiscoveryDown(AT - 8_500 * MS),
-                        new Event.DiscoveryUp(AT - 3_000 * MS), read(), seen(2, 900), ran(3), answered(9, 200)),
-                planted(null, new Event.Excused(AT - MS, "n0", AT + 3_000 * MS, "paused"), read(),
+                planted(
+                        null,
+                        leaves(-9_000),
+                        told(-8_000),
+                        new Event.ServerReturns(AT - 500 * MS, "s"),
+                        read(),
+                        seen(2, 900),
+                        ran(3),
+                        answered(9, 200)),
+                planted(
+                        null,
+                        leaves(-8_000),
+                        new Event.DiscoveryDown(AT - 8_500 * MS),
+                        new Event.DiscoveryUp(AT - 3_000 * MS),
+                        read(),
+                        seen(2, 900),
+                        ran(3),
+                        answered(9, 200)),
+                planted(
+                        null,
+                        new Event.Excused(AT - MS, "n0", AT + 3_000 * MS, "paused"),
+                        read(),
                         new Event.NoAnswer(AT + 2_500 * MS, "x")));
     }
 
@@ -101,7 +125,10 @@
         }
         events.sort(Comparator.comparingLong(Event::at));
         List<Breach> found = new Auditor(events).audit();
-        assertEquals(rule == null ? List.of() : List.of(rule), found.stream().map(Breach::rule).toList(), found::toString);
+        assertEquals(
+                rule == null ? List.of() : List.of(rule),
+                found.stream().map(Breach::rule).toList(),
+                found::toString);
         for (Breach each : found) {
             boolean process = each.rule() == Rule.PROCESS || each.rule() == Rule.HALF_REQUEST;
             assertEquals(process ? "n0" : "x", each.id());
--- a/lab/src/test/java/trestlegrade/lab/soak/PlanTest.java
+++ b/lab/src/test/java/trestlegrade/lab/soak/PlanTest.java
@@ -12,7 +12,8 @@
     @Test
     void theSameSeedDrawsTheSamePlanAndAnotherSeedAnother() {
         assertEquals(Plan.draw(7, 25_000, 3, 6), Plan.draw(7, 25_000, 3, 6));
-        assertNotEquals(Plan.draw(7, 25_000, 3, 6).faults(), Plan.draw(8, 25_000, 3, 6).faults());
+        assertNotEquals(
+                Plan.draw(7, 25_000, 3, 6).faults(), Plan.draw(8, 25_000, 3, 6).faults());
     }
 
     @Test
--- a/sidecar/src/main/java/trestlegrade/Balance.java
+++ b/sidecar/src/main/java/trestlegrade/Balance.java
@@ -258,7 +258,7 @@
         /** Whether it goes on to the next stage. */
         boolean pass(long now, Tx tx);
 
-        default void back(long now, Tx tx, Attempt attempt, long took) { }
+        default void back(long now, Tx tx, Attempt attempt, long took) {}
     }
 
     private final Stage[] chain = {new Leave(), new Early(), new Choose()};
@@ -292,8 +292,8 @@
         return profile.repeat() == Terms.Repeat.JOURNALLED
                 && now - first.sent < profile.window() - WINDOW_MARGIN
                 && (profile.group() == Terms.Group.ALL
-                || profile.group() == Terms.Group.ZONE && first.server.zone == server.zone
-                || profile.group() == Terms.Group.CELL && first.server.cell == server.cell);
+                        || profile.group() == Terms.Group.ZONE && first.server.zone == server.zone
+                        || profile.group() == Terms.Group.CELL && first.server.cell == server.cell);
     }
 
     // A resend travels and may wait for a connection: a tenth of a second of the window is left for that.
@@ -302,7 +302,8 @@
     /** Rule 2. Whether the client may be told that trying again is harmless. */
     private boolean mayRollBack(Tx tx) {
         Terms.Profile profile = terms.profiles().get(tx.profile);
-        return profile.repeat() == Terms.Repeat.IDEMPOTENT || tx.mayHaveRun() == null
+        return profile.repeat() == Terms.Repeat.IDEMPOTENT
+                || tx.mayHaveRun() == null
                 || profile.repeat() == Terms.Repeat.JOURNALLED && profile.group() == Terms.Group.ALL;
     }
 
@@ -394,9 +395,13 @@
     /** An attempt to a server that was shut out since is called off; its end brings a further one. */
     private void callOffIfLost(long now, Tx tx) {
         Attempt last = tx.attempts.get(tx.attempts.size() - 1);
-        if (last.server.shut && now - last.sent > last.expected && attemptTokens >= 1 && terms.cancelling()
+        if (last.server.shut
+                && now - last.sent > last.expected
+                && attemptTokens >= 1
+                && terms.cancelling()
                 && terms.profiles().get(tx.profile).repeat() != Terms.Repeat.NON_IDEMPOTENT
-                && tx.attempts.size() < terms.maxAttempts() && tx.end - now > expected(tx)) {
+                && tx.attempts.size() < terms.maxAttempts()
+                && tx.end - now > expected(tx)) {
             outlet.callOff(tx.id, tx.attempts.size() - 1);
         }
     }
@@ -449,15 +454,16 @@
         double took = waited(now, span);
         int out = openOut - (jammed ? 0 : silentOut);
         double spared = ENOUGH * Math.min(bare, usualGoal * LEAST_RANK);
-        double wait = committed < ENOUGH ? (took + openAges + spared) / (committed + ENOUGH)
+        double wait = committed < ENOUGH
+                ? (took + openAges + spared) / (committed + ENOUGH)
                 : Math.min(out / rate, Math.max(openAges / Math.max(1, out), took / committed));
         crowding = wait / usualGoal;
         // Beats left out while nothing was open ease, but never raise.
         double beats = Math.min(1 / DROP_STEP, Math.max(1, (now - lastBeat) / BEAT));
         for (int i = 0; i < callDrop.length; i++) {
             double bound = Math.max(usualGoal * rank[i], 1.5 * bare);
-            double step = DROP_STEP * (wait > bound ? Math.min(1, wait / bound - 1)
-                    : beats * Math.max(-1, wait / bound - 1));
+            double step =
+                    DROP_STEP * (wait > bound ? Math.min(1, wait / bound - 1) : beats * Math.max(-1, wait / bound - 1));
             callDrop[i] = Math.max(0, Math.min(1, callDrop[i] + step));
         }
         if (terms.crossFee() >= HOME_FEE) {
@@ -473,8 +479,7 @@
     boolean overShare(long now, Tx tx) {
         List<Terms.Customer> named = terms.customers();
         double share = tx.customer < named.size() ? named.get(tx.customer).share() : 0;
-        return !named.isEmpty()
-                && customerArrivals[tx.customer].total(now) > 1.1 * share * arrivals.total(now);
+        return !named.isEmpty() && customerArrivals[tx.customer].total(now) > 1.1 * share * arrivals.total(now);
     }
 
     // Fewer commits than this tell a jam from chance no better than by a third.
@@ -489,6 +494,7 @@
     private long firstSent = -1;
     /** Of the attempts that count for the wait. */
     private double openAges;
+
     private int silentOut;
     private boolean jammed;
     private final Times commits = new Times(5 * COMMIT_SPAN, 50);
@@ -505,10 +511,13 @@
     private void rankRevenue() {
         int n = terms.profiles().size();
         rank = new double[n];
-        double most = terms.profiles().stream().mapToDouble(Terms.Profile::revenue).max().orElse(1);
+        double most = terms.profiles().stream()
+                .mapToDouble(Terms.Profile::revenue)
+                .max()
+                .orElse(1);
         for (int i = 0; i < n; i++) {
-            rank[i] = LEAST_RANK + 0.2 * Math.max(terms.evenness(), terms.profiles().get(i).revenue()
-                    / Math.max(most, 1e-9));
+            rank[i] = LEAST_RANK
+                    + 0.2 * Math.max(terms.evenness(), terms.profiles().get(i).revenue() / Math.max(most, 1e-9));
         }
     }
 
@@ -617,7 +626,8 @@
         if (terms.connectionFee() == 0) {
             return;
         }
-        Map<Integer, List<Server>> zones = servers.stream().filter(server -> server.ready)
+        Map<Integer, List<Server>> zones = servers.stream()
+                .filter(server -> server.ready)
                 .sorted(Comparator.comparingLong(server -> chance.position(server.id, -3)))
                 .collect(Collectors.groupingBy(server -> server.zone));
         for (List<Server> zone : zones.values()) {
@@ -671,14 +681,18 @@
                 }
                 server.refusedPick = picks;
                 asked++;
-                if (now >= lease.end(server.servedAt) || server.shut && strict > 0
+                if (now >= lease.end(server.servedAt)
+                        || server.shut && strict > 0
                         || strict > 1 && athome && server.zone != terms.zone()
-                        || strict > 3 && (server.drop > MUCH_DOWN || server.out >= mean * server.weight + 0.5
-                        || server.told.at(now) > TOLD_CROWDED * (meanTold + 1))
+                        || strict > 3
+                                && (server.drop > MUCH_DOWN
+                                        || server.out >= mean * server.weight + 0.5
+                                        || server.told.at(now) > TOLD_CROWDED * (meanTold + 1))
                         || strict > 2 && trusted && (server.failedInRow > 0 || server.silence > SUSPECT)
                         || strict > 2 && server.failing(now, tx.profile) > FAILING_SHARE
                         || strict > 1 && server.out > 2 * mean * server.weight + 2
-                        || !maySend(now, tx, server) || tx.tried(server) && strict > 0) {
+                        || !maySend(now, tx, server)
+                        || tx.tried(server) && strict > 0) {
                     continue;
                 }
                 if (server.launched == 0 || mayTakeCold(now, tx, server, strict)) {
@@ -839,9 +853,12 @@
         long lately = gradeSpan * 2 / 5;
         if (server.shut) {
             trialEnded(now, server, failed, attempt.trial);
-        } else if (failed && (outcome == Outcome.NO_CONNECTION && server.failedInRow >= 2
-                || server.failedInRow >= FAILING_CALLS || server.failures.total(now, lately) >= FAILING_CALLS
-                && server.failures.total(now, lately) >= FAILING_SHARE * server.calls.total(now, lately))) {
+        } else if (failed
+                && (outcome == Outcome.NO_CONNECTION && server.failedInRow >= 2
+                        || server.failedInRow >= FAILING_CALLS
+                        || server.failures.total(now, lately) >= FAILING_CALLS
+                                && server.failures.total(now, lately)
+                                        >= FAILING_SHARE * server.calls.total(now, lately))) {
             shut(now, server, outcome == Outcome.NO_CONNECTION ? 1 : FAILING_TRIALS);
         }
     }
@@ -908,7 +925,11 @@
     private long nextGrade;
 
     private double meanDrop() {
-        return servers.stream().filter(s -> s.ready).mapToDouble(s -> s.drop).average().orElse(0);
+        return servers.stream()
+                .filter(s -> s.ready)
+                .mapToDouble(s -> s.drop)
+                .average()
+                .orElse(0);
     }
 
     // -------------------------------------------------- shutting out
@@ -1020,12 +1041,17 @@
 
     /** A server due for a trial, if this transaction may be repeated when the trial fails. */
     private Server trialFor(long now, Tx tx) {
-        if (shutServers == 0 || !tx.attempts.isEmpty() || chance.next() >= TRIALS
+        if (shutServers == 0
+                || !tx.attempts.isEmpty()
+                || chance.next() >= TRIALS
                 || terms.profiles().get(tx.profile).repeat() != Terms.Repeat.IDEMPOTENT) {
             return null;
         }
         for (Server server : servers) {
-            if (server.shut && server.used && server.trialsOut == 0 && now >= server.tryAt
+            if (server.shut
+                    && server.used
+                    && server.trialsOut == 0
+                    && now >= server.tryAt
                     && now < lease.end(server.servedAt)
                     && mayTakeCold(now, tx, server, 0)) {
                 return server;
--- a/sidecar/src/main/java/trestlegrade/DiscoveryBackoff.java
+++ b/sidecar/src/main/java/trestlegrade/DiscoveryBackoff.java
@@ -9,13 +9,15 @@
  */
 public final class DiscoveryBackoff {
     private static final long FIRST_WAIT = 5_000;
-    // Discovery's news counts as told 6 s after it can be reached again: with 2.75 s at the most a second is left to connect
+    // Discovery's news counts as told 6 s after it can be reached again: with 2.75 s at the most a second is left to
+    // connect
     // and two for the call's turn.
     private static final long LONGEST_WAIT = 22_000;
     private static final int MOST_DOUBLINGS = 6;
     private static final double JITTER = 0.25;
 
-    // For each sidecar of the fleet: 40 calls a second if all call. What is not served by then is not waited for longer,
+    // For each sidecar of the fleet: 40 calls a second if all call. What is not served by then is not waited for
+    // longer,
     // since the list is needed before its lease ends.
     private static final long TURN = 250;
     private static final long LONGEST_START_SPREAD = 20_000;
--- a/sidecar/src/main/java/trestlegrade/Listed.java
+++ b/sidecar/src/main/java/trestlegrade/Listed.java
@@ -9,5 +9,9 @@
     }
 
     /** Whether the endpoint takes new work, finishes what it has, or has left. */
-    public enum State { READY, DRAINING, GONE }
+    public enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 }
--- a/sidecar/src/main/java/trestlegrade/Main.java
+++ b/sidecar/src/main/java/trestlegrade/Main.java
@@ -1,8 +1,8 @@
 package trestlegrade;
 
 import java.io.BufferedInputStream;
-import java.io.FileInputStream;
 import java.io.FileDescriptor;
+import java.io.FileInputStream;
 import java.io.FileOutputStream;
 import java.io.IOException;
 import java.util.concurrent.Callable;
@@ -13,7 +13,10 @@
 import trestlegrade.sidecar.Sidecar;
 
 /** The command line. */
-@Command(name = "trestlegrade", mixinStandardHelpOptions = true, version = "trestlegrade 0.1.0",
+@Command(
+        name = "trestlegrade",
+        mixinStandardHelpOptions = true,
+        version = "trestlegrade 0.1.0",
         description = "A load balancer of which every client process has its own copy.")
 public final class Main implements Callable<Integer> {
 
@@ -26,12 +29,16 @@
         return CommandLine.ExitCode.USAGE;
     }
 
-    @Command(name = "benchlink", mixinStandardHelpOptions = true,
+    @Command(
+            name = "benchlink",
+            mixinStandardHelpOptions = true,
             description = "Makes the decisions for the sidecars of a bench, on standard input and output.")
     int benchlink() {
         try {
-            new Link(new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
-                    new FileOutputStream(FileDescriptor.out)).run();
+            new Link(
+                            new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
+                            new FileOutputStream(FileDescriptor.out))
+                    .run();
             return CommandLine.ExitCode.OK;
         } catch (MalformedFrame e) {
             System.err.println("benchlink: malformed input: " + e.getMessage());
@@ -41,13 +48,17 @@
         return CommandLine.ExitCode.SOFTWARE;
     }
 
-    @Command(name = "serve", mixinStandardHelpOptions = true,
+    @Command(
+            name = "serve",
+            mixinStandardHelpOptions = true,
             description = "Serves as one sidecar, as the file that LB_CONFIG names says, until SIGTERM.")
     int serve() {
         return Sidecar.serve(System.getenv()) ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
     }
 
-    @Command(name = "rehearse", mixinStandardHelpOptions = true,
+    @Command(
+            name = "rehearse",
+            mixinStandardHelpOptions = true,
             description = "Starts a sidecar on a free port of loopback until it is ready: does it work here?")
     int rehearse() {
         return Sidecar.rehearse() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
--- a/sidecar/src/main/java/trestlegrade/Ring.java
+++ b/sidecar/src/main/java/trestlegrade/Ring.java
@@ -32,8 +32,7 @@
         int at = kept;
         for (Server server : servers) {
             for (int ordinal = 0; ordinal < server.points && server.points != server.laid; ordinal++) {
-                laid[at++] = chance.position(server.id, ordinal) << POSITION
-                        | (long) server.index << ORDINAL | ordinal;
+                laid[at++] = chance.position(server.id, ordinal) << POSITION | (long) server.index << ORDINAL | ordinal;
             }
             server.laid = server.points;
         }
--- a/sidecar/src/main/java/trestlegrade/Server.java
+++ b/sidecar/src/main/java/trestlegrade/Server.java
@@ -19,12 +19,14 @@
     long launched;
     /** When its warming began, by the clock here. */
     long coldSince;
+
     boolean ready;
     boolean gone;
     /** Whether this sidecar sends to it at all. */
     boolean used;
     /** Points on the ring when healthy. */
     int points;
+
     int laid;
     int out;
     long lastSent;
@@ -39,6 +41,7 @@
     double slownessNow;
     /** Mean slowness as last graded. */
     double mean = 1;
+
     final Buckets sentLately;
     final Buckets committed;
     double drop;
@@ -47,6 +50,7 @@
     int failedInRow;
     /** When the latest was sent that it served, since it last turned one away. */
     long servedAt = ListLease.NEVER;
+
     private long refusedAt = ListLease.NEVER;
     double silence;
     long ages;
--- a/sidecar/src/main/java/trestlegrade/Terms.java
+++ b/sidecar/src/main/java/trestlegrade/Terms.java
@@ -7,30 +7,74 @@
  * Only what the decisions read is here.
  */
 public record Terms(
-        List<Profile> profiles, List<Customer> customers, int sidecars,
-        int maxAttempts, boolean cancelling, boolean pauses, long longestPause,
-        boolean listOnRequest, long askWithin, Weights weights, boolean warmKeys,
-        int zone, int number, double crossFee, double connectionFee, double evenness,
-        double coldFrom, long coldFor, double fallMultiple, long fallSpan) {
+        List<Profile> profiles,
+        List<Customer> customers,
+        int sidecars,
+        int maxAttempts,
+        boolean cancelling,
+        boolean pauses,
+        long longestPause,
+        boolean listOnRequest,
+        long askWithin,
+        Weights weights,
+        boolean warmKeys,
+        int zone,
+        int number,
+        double crossFee,
+        double connectionFee,
+        double evenness,
+        double coldFrom,
+        long coldFor,
+        double fallMultiple,
+        long fallSpan) {
 
     /** The same in another numbering of zones. */
     public Terms inZone(int index) {
-        return new Terms(profiles, customers, sidecars, maxAttempts, cancelling, pauses, longestPause, listOnRequest,
-                askWithin, weights, warmKeys, index, number, crossFee, connectionFee, evenness, coldFrom, coldFor,
-                fallMultiple, fallSpan);
+        return new Terms(
+                profiles,
+                customers,
+                sidecars,
+                maxAttempts,
+                cancelling,
+                pauses,
+                longestPause,
+                listOnRequest,
+                askWithin,
+                weights,
+                warmKeys,
+                index,
+                number,
+                crossFee,
+                connectionFee,
+                evenness,
+                coldFrom,
+                coldFor,
+                fallMultiple,
+                fallSpan);
     }
 
     /** What the list's weights tell: nothing, a size, or a size lowered by what an endpoint holds. */
-    public enum Weights { NONE, SIZE, LIVE }
+    public enum Weights {
+        NONE,
+        SIZE,
+        LIVE
+    }
 
     /** What a repeat of a transaction may do. */
-    public enum Repeat { IDEMPOTENT, JOURNALLED, NON_IDEMPOTENT }
+    public enum Repeat {
+        IDEMPOTENT,
+        JOURNALLED,
+        NON_IDEMPOTENT
+    }
 
     /** Which endpoints drop the repeats of a journalled transaction. */
-    public enum Group { ALL, ZONE, CELL }
+    public enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
-    public record Profile(long serviceGoal, long deadline, double revenue,
-                          Repeat repeat, Group group, long window) { }
+    public record Profile(long serviceGoal, long deadline, double revenue, Repeat repeat, Group group, long window) {}
 
-    public record Customer(double share) { }
+    public record Customer(double share) {}
 }
--- a/sidecar/src/main/java/trestlegrade/TermsReader.java
+++ b/sidecar/src/main/java/trestlegrade/TermsReader.java
@@ -44,18 +44,27 @@
         for (int i = 0; i < tenants; i++) {
             customers.add(new Customer(number("tenants." + i + ".share", 1.0 / tenants)));
         }
-        return new Terms(profiles, customers,
+        return new Terms(
+                profiles,
+                customers,
                 (int) Math.max(1, number("n_instances", 1.0)),
                 (int) Math.max(1, number("ceilings.max_hops", 1.0)),
-                flag("ceilings.cancelling"), flag("ceilings.retry_after"),
+                flag("ceilings.cancelling"),
+                flag("ceilings.retry_after"),
                 time("ceilings.max_retry_after", 0.0),
-                choice("membership_mode", "pushed").equals("on_request"), time("safety.ask_within", 10_000.0),
-                weights(), flag("family_info.warm_keys"),
-                (int) number("zone", 0.0), (int) number("my_number", 0.0),
-                number("fees.cross_zone", 0.0), number("fees.connection", 0.0),
+                choice("membership_mode", "pushed").equals("on_request"),
+                time("safety.ask_within", 10_000.0),
+                weights(),
+                flag("family_info.warm_keys"),
+                (int) number("zone", 0.0),
+                (int) number("my_number", 0.0),
+                number("fees.cross_zone", 0.0),
+                number("fees.connection", 0.0),
                 Math.min(1, number("goal.worst_class", 0.0) / Math.max(1e-9, number("goal.whole", 1.0))),
-                number("safety.cold_from", null), time("safety.cold", null),
-                number("safety.fall_multiple", null), time("safety.fall", null));
+                number("safety.cold_from", null),
+                time("safety.cold", null),
+                number("safety.fall_multiple", null),
+                time("safety.fall", null));
     }
 
     private Weights weights() {
@@ -81,8 +90,12 @@
             case "cell" -> Group.CELL;
             default -> throw bad(at + "group", "unknown value");
         };
-        return new Profile(time(at + "service_goal", null), time(at + "hard_limit", null),
-                number(at + "revenue", 1.0), repeat, group,
+        return new Profile(
+                time(at + "service_goal", null),
+                time(at + "hard_limit", null),
+                number(at + "revenue", 1.0),
+                repeat,
+                group,
                 time(at + "dedup_window", journalled ? null : 0.0));
     }
 
--- a/sidecar/src/main/java/trestlegrade/Tx.java
+++ b/sidecar/src/main/java/trestlegrade/Tx.java
@@ -31,6 +31,7 @@
     final List<Attempt> attempts = new ArrayList<>(3);
     /** Where on the ring its key lies, or -1. */
     long position = -1;
+
     int out;
     boolean done;
     boolean streaming;
--- a/sidecar/src/main/java/trestlegrade/benchlink/Link.java
+++ b/sidecar/src/main/java/trestlegrade/benchlink/Link.java
@@ -179,8 +179,8 @@
         double cost = batch.getDouble();
         int flags = batch.getShort();
         if (instance != null) {
-            instance.arrived(now, tx, profile, customer, key, tenths(patience),
-                    (flags & 1) != 0 && cost > 0 ? tenths(cost) : 0);
+            instance.arrived(
+                    now, tx, profile, customer, key, tenths(patience), (flags & 1) != 0 && cost > 0 ? tenths(cost) : 0);
         }
     }
 
@@ -211,8 +211,13 @@
         }
         List<Listed> rows = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            rows.add(new Listed(u32(), Byte.toUnsignedInt(batch.get()), Short.toUnsignedInt(batch.getShort()),
-                    Short.toUnsignedInt(batch.getShort()), state(batch.get()), batch.getFloat(),
+            rows.add(new Listed(
+                    u32(),
+                    Byte.toUnsignedInt(batch.get()),
+                    Short.toUnsignedInt(batch.getShort()),
+                    Short.toUnsignedInt(batch.getShort()),
+                    state(batch.get()),
+                    batch.getFloat(),
                     tenths(batch.getDouble())));
         }
         lists.set(ref, rows);
--- a/sidecar/src/main/java/trestlegrade/sidecar/Answers.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Answers.java
@@ -110,8 +110,11 @@
 
     /** Without a length, on a connection that is to stay open, nobody can tell where the answer ends. */
     private boolean endless(HttpResponse head) {
-        return head.status().code() == 101 || HttpUtil.isKeepAlive(head) && !HttpUtil.isContentLengthSet(head)
-                && !HttpUtil.isTransferEncodingChunked(head) && !isContentAlwaysEmpty(head);
+        return head.status().code() == 101
+                || HttpUtil.isKeepAlive(head)
+                        && !HttpUtil.isContentLengthSet(head)
+                        && !HttpUtil.isTransferEncodingChunked(head)
+                        && !isContentAlwaysEmpty(head);
     }
 
     @Override
--- a/sidecar/src/main/java/trestlegrade/sidecar/Attempt.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Attempt.java
@@ -13,6 +13,7 @@
     final long sent;
     /** When it must have been written by, or not at all. */
     final long writtenBefore;
+
     PooledConnection connection;
     /** What its answer's body holds; null until it is written. */
     BodyMemory.Claim memory;
@@ -20,10 +21,12 @@
     Future<Void> written;
     /** Of the answer; its body is null until it is whole. */
     HttpResponse head;
+
     Buffer answer;
     long timer = -1;
     /** Runs while a part of the answer has come, the last of it at {@code heard}. */
     long partTimer = -1;
+
     long heard;
     boolean ended;
 
--- a/sidecar/src/main/java/trestlegrade/sidecar/Attempts.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Attempts.java
@@ -39,8 +39,14 @@
     private final BodyMemory answers = BodyMemory.ofHeap(ANSWERS);
     private final long sweeper;
 
-    Attempts(Vertx vertx, Clock clock, Counters counters, Lateness lateness, Ends ends, Commission commission,
-         int settled) {
+    Attempts(
+            Vertx vertx,
+            Clock clock,
+            Counters counters,
+            Lateness lateness,
+            Ends ends,
+            Commission commission,
+            int settled) {
         this.vertx = vertx;
         this.clock = clock;
         this.counters = counters;
@@ -119,7 +125,7 @@
         long now = clock.now();
         boolean repeatable = attempt.exchange.repeatable;
         if (free != null) {
-            for (Iterator<PooledConnection> each = free.descendingIterator(); each.hasNext();) {
+            for (Iterator<PooledConnection> each = free.descendingIterator(); each.hasNext(); ) {
                 PooledConnection connection = each.next();
                 if (connection.closed || connection.reason != null || now - connection.idleSince > idleFor) {
                     each.remove();
@@ -162,17 +168,17 @@
         long asked = clock.now();
         client.connect(new ConnectOptions().setRemoteAddress(endpoint.address).setTimeout((int) connectWithin))
                 .onComplete(up -> {
-            if (up.failed()) {
-                descriptors.giveBack();
-                counters.ended("pooled", "connect-failed", endpoint.name, 0, clock.now() - asked);
-                settle(attempt, Outcome.NO_CONNECTION);
-                return;
-            }
-            PooledConnection connection =
-                    new PooledConnection(endpoint, (NetSocketInternal) up.result(), clock.now(), this);
-            connection.whenClosed(() -> closed(connection));
-            lateness.caughtUp(() -> connected(attempt, connection, asked));
-        });
+                    if (up.failed()) {
+                        descriptors.giveBack();
+                        counters.ended("pooled", "connect-failed", endpoint.name, 0, clock.now() - asked);
+                        settle(attempt, Outcome.NO_CONNECTION);
+                        return;
+                    }
+                    PooledConnection connection =
+                            new PooledConnection(endpoint, (NetSocketInternal) up.result(), clock.now(), this);
+                    connection.whenClosed(() -> closed(connection));
+                    lateness.caughtUp(() -> connected(attempt, connection, asked));
+                });
     }
 
     /**
@@ -188,7 +194,8 @@
             settle(attempt, Outcome.NO_CONNECTION);
         } else if (attempt.ended) {
             release(connection);
-        } else if (!attempt.exchange.wanted() || clock.now() >= attempt.writtenBefore
+        } else if (!attempt.exchange.wanted()
+                || clock.now() >= attempt.writtenBefore
                 || clock.now() - asked > 20 * connectWithin) {
             // Or the list has grown too old meanwhile, or the loop stood still, which is not the endpoint's doing.
             settle(attempt, Outcome.NOT_SENT);
@@ -201,7 +208,8 @@
     private void closed(PooledConnection connection) {
         descriptors.giveBack();
         connection.closed = true;
-        String code = connection.reason != null ? connection.reason
+        String code = connection.reason != null
+                ? connection.reason
                 : connection.attempt == null ? "endpoint-closed" : "broken";
         counters.ended("pooled", code, connection.endpoint.name, connection.carried, clock.now() - connection.opened);
         Deque<PooledConnection> free = idle.get(connection.endpoint.id);
@@ -285,7 +293,8 @@
     @Override
     public void answered(Attempt attempt) {
         int status = attempt.head.status().code();
-        boolean neverRan = (status == 503 || status == 504) && "1".equals(attempt.head.headers().get("X-Never-Ran"));
+        boolean neverRan = (status == 503 || status == 504)
+                && "1".equals(attempt.head.headers().get("X-Never-Ran"));
         PooledConnection connection = attempt.connection;
         settle(attempt, status == 200 ? Outcome.COMMITTED : neverRan ? Outcome.TURNED_AWAY : Outcome.ERROR);
         if (!HttpUtil.isKeepAlive(attempt.head)) {
@@ -315,14 +324,16 @@
     }
 
     private void awaitRest(Attempt attempt, long span) {
-        attempt.partTimer = vertx.setTimer(span, t -> lateness.caughtUp(() -> {
-            long left = connectWithin - (clock.now() - attempt.heard) / 10;
-            if (!attempt.ended && left > 0) {
-                awaitRest(attempt, left);
-            } else {
-                spoilt(attempt, "unfinished");
-            }
-        }));
+        attempt.partTimer = vertx.setTimer(
+                span,
+                t -> lateness.caughtUp(() -> {
+                    long left = connectWithin - (clock.now() - attempt.heard) / 10;
+                    if (!attempt.ended && left > 0) {
+                        awaitRest(attempt, left);
+                    } else {
+                        spoilt(attempt, "unfinished");
+                    }
+                }));
     }
 
     /**
@@ -342,22 +353,25 @@
         }
         PooledConnection connection = attempt.connection;
         boolean whole = attempt.written != null && attempt.written.succeeded();
-        boolean answered = outcome == Outcome.COMMITTED || outcome == Outcome.TURNED_AWAY
-                || outcome == Outcome.ERROR;
+        boolean answered = outcome == Outcome.COMMITTED || outcome == Outcome.TURNED_AWAY || outcome == Outcome.ERROR;
         if (connection != null) {
             if (answered && whole) {
                 release(connection);
             } else {
-                connection.close(switch (outcome) {
-                    case TIMED_OUT -> "timed-out";
-                    case CALLED_OFF -> "called-off";
-                    default -> answered ? "early-answer" : "broken";
-                });
+                connection.close(
+                        switch (outcome) {
+                            case TIMED_OUT -> "timed-out";
+                            case CALLED_OFF -> "called-off";
+                            default -> answered ? "early-answer" : "broken";
+                        });
                 connection.attempt = null;
             }
         }
-        if (outcome == Outcome.TIMED_OUT || outcome == Outcome.BROKEN && attempt.head == null && connection != null
-                && "broken".equals(connection.reason)) {
+        if (outcome == Outcome.TIMED_OUT
+                || outcome == Outcome.BROKEN
+                        && attempt.head == null
+                        && connection != null
+                        && "broken".equals(connection.reason)) {
             // Those that have not answered since may lead to a silent machine, and a new one tells before
             // anything is sent on it. To close all was half of all connections on an overloaded day.
             dropIdle(attempt.endpoint, "suspect", attempt.sent);
@@ -371,8 +385,7 @@
     }
 
     private static Outcome never(Outcome outcome) {
-        return outcome == Outcome.NOT_SENT || outcome == Outcome.CALLED_OFF ? Outcome.NOT_SENT
-                : Outcome.NO_CONNECTION;
+        return outcome == Outcome.NOT_SENT || outcome == Outcome.CALLED_OFF ? Outcome.NOT_SENT : Outcome.NO_CONNECTION;
     }
 
     /** No more attempts: ends all connections. */
--- a/sidecar/src/main/java/trestlegrade/sidecar/BodyMemory.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/BodyMemory.java
@@ -31,7 +31,7 @@
     final class Claim {
         private long bytes;
 
-        private Claim() { }
+        private Claim() {}
 
         /** Whether the body may grow to this length; a buffer that grows doubles. */
         boolean grow(int length) {
--- a/sidecar/src/main/java/trestlegrade/sidecar/BoundedTransport.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/BoundedTransport.java
@@ -78,6 +78,7 @@
 
         /** How many are accepted in a row where some had to wait. */
         private static final int ACCEPTED_AT_ONCE = 64;
+
         private static final long NOBODY = 0;
 
         private int letIn;
@@ -101,13 +102,22 @@
             // listener ended with all of them still in its queue.
             boolean full = descriptors.full();
             // The loop looks at its sockets between two timers that follow each other.
-            eventLoop().schedule(() -> eventLoop().schedule(() -> {
-                if (before == letIn && !full && !failing && !descriptors.full() || clock.now() >= lastMoment) {
-                    close().addListener(closed -> then.run());
-                } else {
-                    drain(clock, lastMoment, then);
-                }
-            }, 1, TimeUnit.MILLISECONDS), 1, TimeUnit.MILLISECONDS);
+            eventLoop()
+                    .schedule(
+                            () -> eventLoop()
+                                    .schedule(
+                                            () -> {
+                                                if (before == letIn && !full && !failing && !descriptors.full()
+                                                        || clock.now() >= lastMoment) {
+                                                    close().addListener(closed -> then.run());
+                                                } else {
+                                                    drain(clock, lastMoment, then);
+                                                }
+                                            },
+                                            1,
+                                            TimeUnit.MILLISECONDS),
+                            1,
+                            TimeUnit.MILLISECONDS);
         }
 
         /** Called while somebody waits, so what is not let in here still does. */
@@ -134,11 +144,19 @@
          */
         private void forgetUnlessSomebodyWaits() {
             long before = looks;
-            eventLoop().schedule(() -> eventLoop().schedule(() -> {
-                if (before == looks && !failing) {
-                    waitingSince = NOBODY;
-                }
-            }, 1, TimeUnit.MILLISECONDS), 1, TimeUnit.MILLISECONDS);
+            eventLoop()
+                    .schedule(
+                            () -> eventLoop()
+                                    .schedule(
+                                            () -> {
+                                                if (before == looks && !failing) {
+                                                    waitingSince = NOBODY;
+                                                }
+                                            },
+                                            1,
+                                            TimeUnit.MILLISECONDS),
+                            1,
+                            TimeUnit.MILLISECONDS);
         }
 
         /** Whether there is a descriptor for one more; if not, this accepts none until there is. */
--- a/sidecar/src/main/java/trestlegrade/sidecar/Clients.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Clients.java
@@ -26,14 +26,17 @@
         private int carried;
         /** The answer that is owed to what is being read; null while nothing is. */
         private HttpServerResponse reading;
+
         private Exchange exchange;
         /** Of the body that is being read, or was and is no transaction's. */
         private BodyMemory.Claim memory;
         /** Its last answer; done once the kernel has all of it. */
         private Future<Void> written = Future.succeededFuture();
+
         private boolean ending;
         /** Whether this side has closed it, and waits to be told so. */
         private boolean closing;
+
         String reason;
 
         private Connection(HttpConnection http, StrictDecoder decoder, long opened) {
@@ -152,7 +155,12 @@
     private final Map<HttpConnection, Connection> open = new LinkedHashMap<>();
     private boolean keep;
 
-    Clients(Vertx vertx, Clock clock, Counters counters, Descriptors descriptors, Lateness lateness,
+    Clients(
+            Vertx vertx,
+            Clock clock,
+            Counters counters,
+            Descriptors descriptors,
+            Lateness lateness,
             Consumer<Exchange> left) {
         this.vertx = vertx;
         this.clock = clock;
@@ -186,14 +194,14 @@
     Connection connected(HttpConnection connection, StrictDecoder decoder) {
         Connection client = new Connection(connection, decoder, clock.now());
         open.put(connection, client);
-        connection.exceptionHandler(e -> { });
+        connection.exceptionHandler(e -> {});
         connection.closeHandler(v -> {
             open.remove(connection);
             client.release();
             String unasked = client.busy() ? "client-left" : "client-closed";
             String code = client.reason != null ? client.reason : unasked;
-            counters.ended("client", code, connection.remoteAddress().toString(), client.carried,
-                    clock.now() - client.opened);
+            counters.ended(
+                    "client", code, connection.remoteAddress().toString(), client.carried, clock.now() - client.opened);
             if (client.exchange != null) {
                 left.accept(client.exchange);
             }
@@ -224,7 +232,8 @@
                 }
                 continue;
             }
-            // One that is to end with its answer, since there is no room for it, must bring what can be answered as well:
+            // One that is to end with its answer, since there is no room for it, must bring what can be answered as
+            // well:
             // else those that say nothing hold the last descriptors for good.
             boolean partial = client.decoder.partial();
             // A client that writes slowly is in the midst of its message for as long as it goes on: counted from the
@@ -284,8 +293,11 @@
     private void closeSilent() {
         // All sockets have been read since the latest stall, so how long that was does not matter any more.
         long before = clock.now() - UNREAD - 2 * Math.min(lateness.now(), USUALLY_LATE);
-        open.values().stream().filter(client -> client.silent() && client.active() <= before && !client.closing)
-                .limit(ROOM_AT_ONCE).toList().forEach(client -> client.close("room"));
+        open.values().stream()
+                .filter(client -> client.silent() && client.active() <= before && !client.closing)
+                .limit(ROOM_AT_ONCE)
+                .toList()
+                .forEach(client -> client.close("room"));
     }
 
     // Tenths of a millisecond; what is later counts as a stall, behind which all sockets are read first.
--- a/sidecar/src/main/java/trestlegrade/sidecar/Commission.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Commission.java
@@ -19,10 +19,23 @@
 import trestlegrade.TermsReader;
 
 /** What a sidecar is told at its start: who it is, whom it serves, and on which terms. */
-record Commission(String name, SocketAddress listen, SocketAddress discovery, long seed, int sockets,
-                  long version, JsonArray known, Terms terms, List<String> profiles, List<String> customers,
-                  List<String> zones, List<String> kinds, long idleFor, long connectWithin,
-                  double agreedRate, long drainGrace) {
+record Commission(
+        String name,
+        SocketAddress listen,
+        SocketAddress discovery,
+        long seed,
+        int sockets,
+        long version,
+        JsonArray known,
+        Terms terms,
+        List<String> profiles,
+        List<String> customers,
+        List<String> zones,
+        List<String> kinds,
+        long idleFor,
+        long connectWithin,
+        double agreedRate,
+        long drainGrace) {
 
     /** Reads the file that LB_CONFIG names; what the file leaves out may stand in the environment. */
     static Commission read(Map<String, String> environment) {
@@ -67,25 +80,41 @@
         if (!(known.getValue("index", 0) instanceof Number version)) {
             throw bad("known.index", "must be a number");
         }
-        return new Commission(text(file, "name", environment.get("LB_NAME")),
+        return new Commission(
+                text(file, "name", environment.get("LB_NAME")),
                 address("listen", text(file, "listen", environment.get("LB_LISTEN"))),
                 address("discovery", text(file, "discovery", environment.get("LB_DISCOVERY"))),
-                seed(text(file, "seed", null)), sockets(limits), version.longValue(),
-                entries, terms,
-                names(settings, "profiles"), names(settings, "tenants"), zones,
-                plain(settings, "flavors"), reader.time("ceilings.keepalive", 10_000.0),
-                reader.time("ceilings.dial_timeout", 250.0), agreedRate(settings) / terms.sidecars(),
+                seed(text(file, "seed", null)),
+                sockets(limits),
+                version.longValue(),
+                entries,
+                terms,
+                names(settings, "profiles"),
+                names(settings, "tenants"),
+                zones,
+                plain(settings, "flavors"),
+                reader.time("ceilings.keepalive", 10_000.0),
+                reader.time("ceilings.dial_timeout", 250.0),
+                agreedRate(settings) / terms.sidecars(),
                 reader.time("safety.drain_grace", 0.0));
     }
 
     /** The longest deadline, in milliseconds: what any transaction takes at the most. */
     long longestDeadline() {
-        return terms.profiles().stream().mapToLong(Terms.Profile::deadline).max().orElse(0) / 10;
+        return terms.profiles().stream()
+                        .mapToLong(Terms.Profile::deadline)
+                        .max()
+                        .orElse(0)
+                / 10;
     }
 
     /** The longest service goal, in milliseconds. */
     long longestGoal() {
-        return terms.profiles().stream().mapToLong(Terms.Profile::serviceGoal).max().orElse(0) / 10;
+        return terms.profiles().stream()
+                        .mapToLong(Terms.Profile::serviceGoal)
+                        .max()
+                        .orElse(0)
+                / 10;
     }
 
     /** What another file says otherwise, of all that holds until the program ends. */
@@ -98,9 +127,14 @@
     }
 
     boolean sameSettings(Commission other) {
-        return terms.equals(other.terms) && profiles.equals(other.profiles) && customers.equals(other.customers)
-                && zones.equals(other.zones) && kinds.equals(other.kinds) && idleFor == other.idleFor
-                && connectWithin == other.connectWithin && drainGrace == other.drainGrace;
+        return terms.equals(other.terms)
+                && profiles.equals(other.profiles)
+                && customers.equals(other.customers)
+                && zones.equals(other.zones)
+                && kinds.equals(other.kinds)
+                && idleFor == other.idleFor
+                && connectWithin == other.connectWithin
+                && drainGrace == other.drainGrace;
     }
 
     /** Transactions a second that all customers together are granted of all sidecars; infinite if none says. */
--- a/sidecar/src/main/java/trestlegrade/sidecar/Counters.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Counters.java
@@ -49,10 +49,12 @@
     long leasesExpired;
     /** The listener has a thread of its own. */
     private final LongAdder acceptsFailed = new LongAdder();
+
     private volatile long acceptFailureLogged = System.nanoTime() - ACCEPT_FAILURES_LOGGED_EVERY;
     private static final long ACCEPT_FAILURES_LOGGED_EVERY = 1_000_000_000;
     /** Tenths of a millisecond, to two digits up to a minute. */
     final Histogram attemptTook = new Histogram(600_000, 2);
+
     final Histogram loopLate = new Histogram(600_000, 2);
     private final Map<Outcome, Long> attempts = new EnumMap<>(Outcome.class);
     private final Map<Integer, Long> rejected = new TreeMap<>();
@@ -87,14 +89,16 @@
     /** One connection has ended: counted, and told in one line of the log. */
     void ended(String side, String code, String peer, int carried, long openTenths) {
         connectionsEnded.merge(side + ":" + code, 1L, Long::sum);
-        log.add(() -> Logger.info("{} code={} peer={} carried={} open_ms={}", side, code, peer, carried,
-                openTenths / 10));
+        log.add(() ->
+                Logger.info("{} code={} peer={} carried={} open_ms={}", side, code, peer, carried, openTenths / 10));
     }
 
     private static JsonObject milliseconds(Histogram tenths) {
-        return new JsonObject().put("count", tenths.getTotalCount())
+        return new JsonObject()
+                .put("count", tenths.getTotalCount())
                 .put("p50", tenths.getValueAtPercentile(50) / 10.0)
-                .put("p99", tenths.getValueAtPercentile(99) / 10.0).put("max", tenths.getMaxValue() / 10.0);
+                .put("p99", tenths.getValueAtPercentile(99) / 10.0)
+                .put("max", tenths.getMaxValue() / 10.0);
     }
 
     /** A figure that is read whenever somebody asks for the counters. */
@@ -116,15 +120,30 @@
         rejected.forEach((status, n) -> rejections.put(status.toString(), n));
         JsonObject codes = new JsonObject();
         connectionsEnded.forEach(codes::put);
-        return new JsonObject().put("taken", taken).put("committed", committed).put("rolled_back", rolledBack)
-                .put("abandoned", abandoned).put("clients_left", clientsLeft).put("rejected", rejections)
-                .put("attempts_sent", sent).put("attempts_ended", ends).put("connects", connects)
-                .put("no_descriptor", noDescriptor).put("connections_ended", codes)
-                .put("list_lines", listLines).put("watches", watches).put("list_lines_bad", badLines)
+        return new JsonObject()
+                .put("taken", taken)
+                .put("committed", committed)
+                .put("rolled_back", rolledBack)
+                .put("abandoned", abandoned)
+                .put("clients_left", clientsLeft)
+                .put("rejected", rejections)
+                .put("attempts_sent", sent)
+                .put("attempts_ended", ends)
+                .put("connects", connects)
+                .put("no_descriptor", noDescriptor)
+                .put("connections_ended", codes)
+                .put("list_lines", listLines)
+                .put("watches", watches)
+                .put("list_lines_bad", badLines)
                 .put("list_entries_bad", badEntries)
-                .put("list_expired", leasesExpired).put("accepts_failed", acceptsFailed.sum())
-                .put("loop_turns", turns.all()).put("loop_turns_idle", turns.idle.sum())
-                .put("refused", refusals.report()).put("now", gauges()).put("log_lines_dropped", log.dropped())
-                .put("attempt_ms", milliseconds(attemptTook)).put("loop_late_ms", milliseconds(loopLate));
+                .put("list_expired", leasesExpired)
+                .put("accepts_failed", acceptsFailed.sum())
+                .put("loop_turns", turns.all())
+                .put("loop_turns_idle", turns.idle.sum())
+                .put("refused", refusals.report())
+                .put("now", gauges())
+                .put("log_lines_dropped", log.dropped())
+                .put("attempt_ms", milliseconds(attemptTook))
+                .put("loop_late_ms", milliseconds(loopLate));
     }
 }
--- a/sidecar/src/main/java/trestlegrade/sidecar/Descriptors.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Descriptors.java
@@ -9,8 +9,8 @@
 
     private final int most;
     private final AtomicInteger held = new AtomicInteger();
-    private volatile Runnable whenFree = () -> { };
-    private volatile Runnable whenAwaited = () -> { };
+    private volatile Runnable whenFree = () -> {};
+    private volatile Runnable whenAwaited = () -> {};
 
     private Descriptors(int most) {
         this.most = most;
--- a/sidecar/src/main/java/trestlegrade/sidecar/Desk.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Desk.java
@@ -33,10 +33,12 @@
     private final Queue<Runnable> in = new ConcurrentLinkedQueue<>();
     /** What the list says goes before all else: after a stall a transaction must not go by the old list. */
     private final Queue<Runnable> list = new ConcurrentLinkedQueue<>();
+
     private final AtomicBoolean called = new AtomicBoolean();
     private final LongObjectHashMap<Exchange> open = new LongObjectHashMap<>();
     /** The one that takes what arrives, and those before it that have transactions open. */
     private Tenure tenure;
+
     private final List<Tenure> earlier = new ArrayList<>();
     private Roster roster;
     private Attempts attempts;
@@ -44,8 +46,15 @@
     private long now;
     private long nextId;
 
-    Desk(Vertx vertx, Context context, Clock clock, Counters counters, Lateness lateness, Terms terms,
-         long seed, ListLease lease) {
+    Desk(
+            Vertx vertx,
+            Context context,
+            Clock clock,
+            Counters counters,
+            Lateness lateness,
+            Terms terms,
+            long seed,
+            ListLease lease) {
         this.vertx = vertx;
         this.context = context;
         this.clock = clock;
@@ -98,8 +107,14 @@
             open.put(exchange.id, exchange);
             exchange.tenure = tenure;
             tenure.taken++;
-            tenure.balance.arrived(now, exchange.id, exchange.profile, exchange.customer, exchange.key,
-                    exchange.end - now, exchange.cost);
+            tenure.balance.arrived(
+                    now,
+                    exchange.id,
+                    exchange.profile,
+                    exchange.customer,
+                    exchange.key,
+                    exchange.end - now,
+                    exchange.cost);
             forgetIfOver(exchange);
         });
     }
@@ -126,17 +141,22 @@
             exchange.out--;
             counters.attempt(outcome);
             if (outcome == Outcome.COMMITTED) {
-                exchange.commit(Heads.onward(attempt.head.headers(), attempt.head.headers().get("Connection")),
-                        attempt.answer, counters).onComplete(written -> attempt.memory.release());
-                counters.attemptTook.recordValue(Math.min(clock.now() - attempt.sent,
-                        counters.attemptTook.getHighestTrackableValue()));
+                exchange.commit(
+                                Heads.onward(
+                                        attempt.head.headers(),
+                                        attempt.head.headers().get("Connection")),
+                                attempt.answer,
+                                counters)
+                        .onComplete(written -> attempt.memory.release());
+                counters.attemptTook.recordValue(
+                        Math.min(clock.now() - attempt.sent, counters.attemptTook.getHighestTrackableValue()));
             }
             if (!exchange.wanted()) {
                 // Before the decisions think of a further attempt: that the client left may be told behind this.
                 leave(exchange);
             }
-            exchange.tenure.balance.attemptEnded(now, exchange.id, attempt.number, outcome, clock.now() - attempt.sent,
-                    exchange.over());
+            exchange.tenure.balance.attemptEnded(
+                    now, exchange.id, attempt.number, outcome, clock.now() - attempt.sent, exchange.over());
             forgetIfOver(exchange);
         });
     }
@@ -168,7 +188,8 @@
 
     /** Transactions that the decisions still hold, under all settings in use. */
     int decidedOn() {
-        return tenure.balance.held() + earlier.stream().mapToInt(each -> each.balance.held()).sum();
+        return tenure.balance.held()
+                + earlier.stream().mapToInt(each -> each.balance.held()).sum();
     }
 
     /** The settings in force, and those under which transactions are still open. */
@@ -233,8 +254,8 @@
         @Override
         public void send(long tx, long endpoint, long timeout, long writtenBefore) {
             Exchange exchange = open.get(tx);
-            Attempt attempt = new Attempt(exchange, exchange.attempts.size(), roster.endpoint(endpoint), clock.now(),
-                    writtenBefore);
+            Attempt attempt = new Attempt(
+                    exchange, exchange.attempts.size(), roster.endpoint(endpoint), clock.now(), writtenBefore);
             exchange.attempts.add(attempt);
             exchange.out++;
             attempts.send(attempt, exchange.wanted() ? timeout : 0);
--- a/sidecar/src/main/java/trestlegrade/sidecar/Discovery.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Discovery.java
@@ -38,10 +38,19 @@
     private Watch current;
     /** Takes the place of one that has gone quiet, once it has brought something itself. */
     private Watch spare;
+
     private long spareNotBefore;
 
-    Discovery(Vertx vertx, Clock clock, Counters counters, Lateness lateness, SocketAddress address, long version,
-              Desk desk, ListLease lease, long seed) {
+    Discovery(
+            Vertx vertx,
+            Clock clock,
+            Counters counters,
+            Lateness lateness,
+            SocketAddress address,
+            long version,
+            Desk desk,
+            ListLease lease,
+            long seed) {
         this.vertx = vertx;
         this.clock = clock;
         this.counters = counters;
@@ -196,7 +205,8 @@
 
     /** Nobody listens there: told from all that may fail on the way, or on this side. */
     private static boolean isRefused(Throwable cause) {
-        return cause instanceof ConnectException && String.valueOf(cause.getMessage()).startsWith("Connection refused");
+        return cause instanceof ConnectException
+                && String.valueOf(cause.getMessage()).startsWith("Connection refused");
     }
 
     long version() {
@@ -217,8 +227,11 @@
             }
             opened = clock.now();
             heard = opened;
-            client.connect(new HttpConnectOptions().setServer(address).setHost(address.host())
-                    .setPort(address.port()).setConnectTimeout(pushed ? AGENT_CONNECTS_WITHIN : CONNECT_WITHIN))
+            client.connect(new HttpConnectOptions()
+                            .setServer(address)
+                            .setHost(address.host())
+                            .setPort(address.port())
+                            .setConnectTimeout(pushed ? AGENT_CONNECTS_WITHIN : CONNECT_WITHIN))
                     .onComplete(up -> {
                         if (up.failed()) {
                             end("connect-failed", up.cause());
@@ -239,11 +252,12 @@
 
         private void ask() {
             if (pushed) {
-                // An agent that has something says it at once; while it is cut off itself it is silent, and learns nothing.
+                // An agent that has something says it at once; while it is cut off itself it is silent, and learns
+                // nothing.
                 confirmed();
             }
-            RequestOptions head = new RequestOptions().setMethod(HttpMethod.GET)
-                    .setURI("/catalog/members?stream=1&index=" + version);
+            RequestOptions head =
+                    new RequestOptions().setMethod(HttpMethod.GET).setURI("/catalog/members?stream=1&index=" + version);
             connection.request(head).compose(request -> request.send()).onComplete(answer -> {
                 if (answer.failed()) {
                     end("closed", answer.cause());
@@ -298,8 +312,10 @@
                     return;
                 }
             }
-            unusable(indexed ? scoped ? "endpoints: must be an array" : "snapshot: must be true or false"
-                    : "index: must be a number");
+            unusable(
+                    indexed
+                            ? scoped ? "endpoints: must be an array" : "snapshot: must be true or false"
+                            : "index: must be a number");
         }
 
         private void unusable(String cause) {
@@ -320,7 +336,8 @@
             counters.ended("watch", code, address.toString(), heardLines, clock.now() - opened);
             long held = version;
             long quiet = (clock.now() - heard) / 10;
-            counters.log.add(() -> Logger.info("list code=watch-ended cause={} version={} quiet_ms={}", cause, held, quiet));
+            counters.log.add(
+                    () -> Logger.info("list code=watch-ended cause={} version={} quiet_ms={}", cause, held, quiet));
             if (connection != null) {
                 connection.close();
             }
--- a/sidecar/src/main/java/trestlegrade/sidecar/Exchange.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Exchange.java
@@ -40,12 +40,23 @@
     long id;
     /** Under which it was taken; it ends under the same. */
     Desk.Tenure tenure;
+
     private final Client client;
     private BodyMemory.Claim claim;
     private boolean over;
 
-    Exchange(String method, String uri, MultiMap head, Buffer body, int profile, boolean repeatable, int customer,
-             long key, long end, long cost, Client client) {
+    Exchange(
+            String method,
+            String uri,
+            MultiMap head,
+            Buffer body,
+            int profile,
+            boolean repeatable,
+            int customer,
+            long key,
+            long end,
+            long cost,
+            Client client) {
         this.method = method;
         this.uri = uri;
         this.head = head;
--- a/sidecar/src/main/java/trestlegrade/sidecar/Front.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Front.java
@@ -48,6 +48,7 @@
     private final BodyMemory bodies = BodyMemory.ofHeap(REQUESTS);
     /** The ids of the transactions that are open. */
     private final Set<String> traces = new HashSet<>();
+
     private final PipeliningGate.Held held = new PipeliningGate.Held();
     private boolean ready;
     private boolean leaving;
@@ -55,6 +56,7 @@
     private boolean closing;
     /** Whether the listener has ended. */
     private boolean shut;
+
     private long lastAnswer = Long.MAX_VALUE;
 
     /** The way back to the application; one transaction at a time is under way on a connection. */
@@ -102,8 +104,17 @@
 
     private static final Buffer NOTHING = Buffer.buffer();
 
-    Front(Vertx vertx, Context context, Clock clock, Counters counters, Desk desk, Roster roster, Commission commission,
-          Descriptors descriptors, BoundedTransport transport, Lateness lateness) {
+    Front(
+            Vertx vertx,
+            Context context,
+            Clock clock,
+            Counters counters,
+            Desk desk,
+            Roster roster,
+            Commission commission,
+            Descriptors descriptors,
+            BoundedTransport transport,
+            Lateness lateness) {
         this.vertx = vertx;
         this.context = context;
         this.clock = clock;
@@ -119,15 +130,20 @@
 
     /** A server as it is told to listen; one whose listening failed is of no more use. */
     private HttpServer server() {
-        HttpServerOptions options = new HttpServerOptions().setHost(commission.listen().host())
-                .setPort(commission.listen().port()).setTcpNoDelay(true).setHttp2ClearTextEnabled(false)
-                .setHandle100ContinueAutomatically(true).setAcceptBacklog(BACKLOG)
+        HttpServerOptions options = new HttpServerOptions()
+                .setHost(commission.listen().host())
+                .setPort(commission.listen().port())
+                .setTcpNoDelay(true)
+                .setHttp2ClearTextEnabled(false)
+                .setHandle100ContinueAutomatically(true)
+                .setAcceptBacklog(BACKLOG)
                 // No client speaks WebSocket here, so no head need pass the library's reader of its extensions.
-                .setPerFrameWebSocketCompressionSupported(false).setPerMessageWebSocketCompressionSupported(false);
+                .setPerFrameWebSocketCompressionSupported(false)
+                .setPerMessageWebSocketCompressionSupported(false);
         HttpServer server = vertx.createHttpServer(options);
         server.connectionHandler(connection -> {
-            StrictDecoder decoder = StrictDecoder.on(connection, options, clock, lateness, held,
-                    () -> clients.of(connection).reason = "too-far-ahead");
+            StrictDecoder decoder = StrictDecoder.on(
+                    connection, options, clock, lateness, held, () -> clients.of(connection).reason = "too-far-ahead");
             clients.connected(connection, decoder);
         });
         server.invalidRequestHandler(this::malformed);
@@ -159,8 +175,8 @@
             if (cause instanceof BindException || clock.now() >= until) {
                 return Future.failedFuture(cause);
             }
-            counters.log.add(() -> Logger.warn("serve code=listen-again listen={} cause={}", commission.listen(),
-                    cause.getMessage()));
+            counters.log.add(() ->
+                    Logger.warn("serve code=listen-again listen={} cause={}", commission.listen(), cause.getMessage()));
             return vertx.timer(LISTEN_RETRY, TimeUnit.MILLISECONDS).compose(due -> listen(until));
         });
     }
@@ -201,10 +217,13 @@
             // What those that stay have sent so far is read before they are taken for idle, and so is what the last
             // newcomers bring.
             lateness.afterReading(clients::leave);
-            transport.shut(clock, lastAnswer + LATECOMERS, () -> context.runOnContext(v -> lateness.afterReading(() -> {
-                clients.leave();
-                shut = true;
-            })));
+            transport.shut(
+                    clock,
+                    lastAnswer + LATECOMERS,
+                    () -> context.runOnContext(v -> lateness.afterReading(() -> {
+                        clients.leave();
+                        shut = true;
+                    })));
         }
     }
 
@@ -290,8 +309,8 @@
         request.exceptionHandler(e -> {
             // Vert.x has ended the connection: the client left, or what it sent is no body.
             if (client.reason == null) {
-                client.reason = e instanceof HttpClosedException || e instanceof IOException
-                        ? "client-left" : "malformed";
+                client.reason =
+                        e instanceof HttpClosedException || e instanceof IOException ? "client-left" : "malformed";
             }
         });
         request.endHandler(v -> {
@@ -336,13 +355,19 @@
             // What is read after a stall may have come at its beginning: that much of its wait is over.
             long unread = Math.min(wait, lateness.unread());
             long late = Math.max(0, lateness.now());
-            long end = Math.min(lastAnswer - Math.min(late, wait / MOST_LATE),
+            long end = Math.min(
+                    lastAnswer - Math.min(late, wait / MOST_LATE),
                     clock.now() + wait - Math.max(unread, Math.min(Math.max(STALL, late), wait / MOST_LATE)));
-            Exchange exchange = new Exchange(request.method().name(), uri, Heads.onward(request.headers(),
-                            request.getHeader("Connection")),
-                    body, profile, terms.repeat() == Repeat.IDEMPOTENT,
+            Exchange exchange = new Exchange(
+                    request.method().name(),
+                    uri,
+                    Heads.onward(request.headers(), request.getHeader("Connection")),
+                    body,
+                    profile,
+                    terms.repeat() == Repeat.IDEMPOTENT,
                     customers.getOrDefault(Heads.asSent(request.getHeader("X-Customer")), -1),
-                    Heads.key(target), end,
+                    Heads.key(target),
+                    end,
                     Heads.cost(request.getHeader("X-Size-Hint")),
                     new Reply(client, request.response(), trace));
             client.took(exchange);
@@ -381,7 +406,8 @@
                 client.reason = client.reason == null ? "client-left" : client.reason;
                 return;
             }
-            int status = cause instanceof TooLongHttpLineException ? 414
+            int status = cause instanceof TooLongHttpLineException
+                    ? 414
                     : cause instanceof TooLongHttpHeaderException ? 431 : 400;
             reject(request, client, status, "malformed");
         }
--- a/sidecar/src/main/java/trestlegrade/sidecar/Heads.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Heads.java
@@ -18,17 +18,27 @@
 /** Heads of messages: what the decisions need of them, and which fields go on to the other side. */
 final class Heads {
     // RFC 9110, 7.6.1, and what frames a body; the time left is told anew to each endpoint.
-    private static final Set<String> STAY = Set.of("connection", "keep-alive", "proxy-connection", "te",
-            "trailer", "transfer-encoding", "upgrade", "content-length", "expect", "x-expires-in");
+    private static final Set<String> STAY = Set.of(
+            "connection",
+            "keep-alive",
+            "proxy-connection",
+            "te",
+            "trailer",
+            "transfer-encoding",
+            "upgrade",
+            "content-length",
+            "expect",
+            "x-expires-in");
 
-    private Heads() { }
+    private Heads() {}
 
     /** All fields but those that are about one connection alone, and such as no head may hold. */
     static MultiMap onward(Iterable<Map.Entry<String, String>> came, String named) {
         MultiMap onward = HttpHeaders.headers();
         came.forEach(field -> {
             String name = field.getKey();
-            if (!STAY.contains(name.toLowerCase(Locale.ROOT)) && !names(named, name)
+            if (!STAY.contains(name.toLowerCase(Locale.ROOT))
+                    && !names(named, name)
                     && HttpHeaderValidationUtil.validateToken(name) < 0
                     && HttpHeaderValidationUtil.validateValidHeaderValue(field.getValue()) < 0) {
                 onward.add(name, field.getValue());
@@ -39,9 +49,13 @@
 
     /** An attempt as it is written: all as it came, but the time that is left (tenths of a millisecond). */
     static FullHttpRequest attempt(Exchange exchange, long left) {
-        DefaultFullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                HttpMethod.valueOf(exchange.method), exchange.uri,
-                ((BufferInternal) exchange.body).getByteBuf(), new DefaultHttpHeaders(false), NO_TRAILER);
+        DefaultFullHttpRequest message = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                HttpMethod.valueOf(exchange.method),
+                exchange.uri,
+                ((BufferInternal) exchange.body).getByteBuf(),
+                new DefaultHttpHeaders(false),
+                NO_TRAILER);
         exchange.head.forEach((name, value) -> message.headers().add(name, value));
         message.headers().set("X-Expires-In", Math.max(1, left) * 100 + "u");
         if (exchange.body.length() > 0 || !exchange.method.equals("GET")) {
@@ -78,8 +92,9 @@
         for (int at = query; at >= 0; at = target.indexOf('&', at + 1)) {
             if (target.startsWith("k=", at + 1)) {
                 int end = target.indexOf('&', at + 1);
-                return 1 + Integer.toUnsignedLong(
-                        target.substring(at + 3, end < 0 ? target.length() : end).hashCode());
+                return 1
+                        + Integer.toUnsignedLong(target.substring(at + 3, end < 0 ? target.length() : end)
+                                .hashCode());
             }
         }
         return 0;
--- a/sidecar/src/main/java/trestlegrade/sidecar/Lateness.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Lateness.java
@@ -18,11 +18,13 @@
     private long last;
     /** The worst within one pulse's time; those left out in a stall follow it at once. */
     private long latest;
+
     private long latestAt;
     private long worst;
     private long worstAt;
     /** How long the latest stall was, until the sockets have been read behind it; 0 then. */
     private long backlog;
+
     private long stalls;
     private long stallLength;
     private long stallEnd = Long.MIN_VALUE / 2;
--- a/sidecar/src/main/java/trestlegrade/sidecar/LingeringClose.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/LingeringClose.java
@@ -15,7 +15,8 @@
  * close over bytes that are unread resets the connection, and takes along what the client has not read of the answer.
  */
 final class LingeringClose extends ChannelDuplexHandler {
-    // Tenths of a millisecond. What a client had on its way comes within a few milliseconds. Clients that keep a connection
+    // Tenths of a millisecond. What a client had on its way comes within a few milliseconds. Clients that keep a
+    // connection
     // that has ended hold its descriptor for so long.
     private static final long QUIET = 1_000;
     private static final long LONGEST = 10_000;
@@ -84,18 +85,22 @@
         context.channel().config().setAutoRead(true);
         ((DuplexChannel) context.channel()).shutdownOutput();
         boolean partial = decoder.partial();
-        closeOnceQuiet(context, promise, partial ? QUIET_PARTIAL : QUIET,
-                clock.now() + (partial ? LONGEST_PARTIAL : LONGEST));
+        closeOnceQuiet(
+                context, promise, partial ? QUIET_PARTIAL : QUIET, clock.now() + (partial ? LONGEST_PARTIAL : LONGEST));
     }
 
     private void closeOnceQuiet(ChannelHandlerContext context, ChannelPromise promise, long quiet, long latest) {
         // Behind a stall what has come is read first.
-        context.executor().schedule(() -> lateness.caughtUp(() -> {
-            if (clock.now() < latest && clock.now() - decoder.heard() < quiet) {
-                closeOnceQuiet(context, promise, quiet, latest);
-            } else {
-                context.close(promise);
-            }
-        }), quiet / 10, TimeUnit.MILLISECONDS);
+        context.executor()
+                .schedule(
+                        () -> lateness.caughtUp(() -> {
+                            if (clock.now() < latest && clock.now() - decoder.heard() < quiet) {
+                                closeOnceQuiet(context, promise, quiet, latest);
+                            } else {
+                                context.close(promise);
+                            }
+                        }),
+                        quiet / 10,
+                        TimeUnit.MILLISECONDS);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/sidecar/PipeliningGate.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/PipeliningGate.java
@@ -40,6 +40,7 @@
     private final Deque<Object> held = new ArrayDeque<>();
     /** When the last byte of each whole message that is held came. */
     private final Deque<Long> heldSince = new ArrayDeque<>();
+
     private long cameAt;
     private long bytes;
     private boolean open;
@@ -91,8 +92,8 @@
 
     @Override
     public void write(ChannelHandlerContext context, Object part, ChannelPromise promise) throws Exception {
-        boolean interim = part instanceof HttpResponse head
-                && head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+        boolean interim =
+                part instanceof HttpResponse head && head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
         super.write(context, part, promise);
         if (part instanceof LastHttpContent && !interim) {
             open = false;
--- a/sidecar/src/main/java/trestlegrade/sidecar/PooledConnection.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/PooledConnection.java
@@ -39,11 +39,13 @@
     long idleSince;
     /** Whether the loop has looked for bytes some time after the last answer, and found none. */
     boolean rested;
+
     int rests;
     int carried;
     Attempt attempt;
     /** Why it ends, once this side has decided that; else the endpoint did. */
     String reason;
+
     boolean closed;
 
     PooledConnection(Endpoint endpoint, NetSocketInternal socket, long opened, Owner owner) {
@@ -51,10 +53,12 @@
         this.socket = socket;
         this.opened = opened;
         this.owner = owner;
-        socket.channelHandlerContext().pipeline().addBefore("handler", "answers", new Answers(this))
+        socket.channelHandlerContext()
+                .pipeline()
+                .addBefore("handler", "answers", new Answers(this))
                 .addBefore("handler", "attempts", new HttpRequestEncoder());
         socket.messageHandler(this::read);
-        socket.exceptionHandler(e -> { });
+        socket.exceptionHandler(e -> {});
     }
 
     /** The future is done with its last byte. */
--- a/sidecar/src/main/java/trestlegrade/sidecar/Refusals.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Refusals.java
@@ -52,8 +52,14 @@
         long left = (exchange.end - now) / 10;
         long like = tally.sinceSample;
         tally.sinceSample = 0;
-        log.add(() -> Logger.info("transaction code={} reason={} id={} attempts={} left_ms={} like_it={}", code, name(why),
-                id, attempts, left, like));
+        log.add(() -> Logger.info(
+                "transaction code={} reason={} id={} attempts={} left_ms={} like_it={}",
+                code,
+                name(why),
+                id,
+                attempts,
+                left,
+                like));
     }
 
     private static String attempts(Exchange exchange) {
@@ -71,8 +77,8 @@
     /** By reason, how many were rolled back and how many abandoned. */
     JsonObject report() {
         JsonObject report = new JsonObject();
-        tallies.forEach((why, tally) -> report.put(name(why),
-                new JsonObject().put("rolled_back", tally.rolledBack).put("abandoned", tally.abandoned)));
+        tallies.forEach((why, tally) -> report.put(
+                name(why), new JsonObject().put("rolled_back", tally.rolledBack).put("abandoned", tally.abandoned)));
         return report;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/sidecar/Rehearsal.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Rehearsal.java
@@ -46,12 +46,18 @@
     private int ended;
     private boolean enough;
 
-    Rehearsal(Vertx vertx, Context context, Clock clock, Lateness lateness, Commission commission,
-              LogLines log) {
+    Rehearsal(Vertx vertx, Context context, Clock clock, Lateness lateness, Commission commission, LogLines log) {
         this.clock = clock;
         this.commission = commission;
         Counters counters = new Counters(log);
-        desk = new Desk(vertx, context, clock, counters, lateness, commission.terms(), commission.seed(),
+        desk = new Desk(
+                vertx,
+                context,
+                clock,
+                counters,
+                lateness,
+                commission.terms(),
+                commission.seed(),
                 ListLease.permanent());
         // This sidecar itself sends nothing behind an answer.
         attempts = new Attempts(vertx, clock, counters, lateness, desk::attemptEnded, commission, 1);
@@ -68,9 +74,11 @@
 
     /** How many transactions it took. */
     Future<Integer> play() {
-        JsonObject self = new JsonObject().put("name", "self").put("address", commission.listen().toString())
+        JsonObject self = new JsonObject()
+                .put("name", "self")
+                .put("address", commission.listen().toString())
                 .put("status", "active");
-        desk.start(roster, attempts, () -> { }, new JsonArray().add(self));
+        desk.start(roster, attempts, () -> {}, new JsonArray().add(self));
         for (int i = 0; i < AT_ONCE; i++) {
             ask();
         }
@@ -80,8 +88,18 @@
     private void ask() {
         int profile = asked % commission.profiles().size();
         long now = clock.now();
-        desk.arrived(new Exchange(asked++ % 2 == 0 ? "GET" : "POST", TARGET, HttpHeaders.headers(), body,
-                profile, false, 0, asked, now + commission.terms().profiles().get(profile).deadline(), 0, this));
+        desk.arrived(new Exchange(
+                asked++ % 2 == 0 ? "GET" : "POST",
+                TARGET,
+                HttpHeaders.headers(),
+                body,
+                profile,
+                false,
+                0,
+                asked,
+                now + commission.terms().profiles().get(profile).deadline(),
+                0,
+                this));
     }
 
     private void next() {
--- a/sidecar/src/main/java/trestlegrade/sidecar/Roster.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Roster.java
@@ -111,8 +111,13 @@
         int known = byId.size();
         int stops = stopped.size();
         List<String> names = List.copyOf(stopped.subList(0, Math.min(MOST_LOGGED, stops)));
-        counters.log.add(() -> Logger.info("list code=applied whole={} entries={} known={} stopped={} names={}", whole, entries,
-                known, stops, names));
+        counters.log.add(() -> Logger.info(
+                "list code=applied whole={} entries={} known={} stopped={} names={}",
+                whole,
+                entries,
+                known,
+                stops,
+                names));
     }
 
     // A line of the log stays readable, whatever leaves at once.
@@ -131,7 +136,8 @@
      * that the endpoint drains or has left, or that it is still there, as it was last listed.
      */
     private void keep(JsonObject told, List<Listed> rows) {
-        Endpoint known = told.getValue("name") instanceof String name ? byId.get(id(name))
+        Endpoint known = told.getValue("name") instanceof String name
+                ? byId.get(id(name))
                 : told.getValue("address") instanceof String address ? at(address) : null;
         if (known == null) {
             return;
@@ -211,11 +217,16 @@
         }
         long launched = entry.getLong("since_ms", 0L) * 10;
         SocketAddress address = Commission.address("address", entry.getString("address"));
-        Listed row = new Listed(id, index(zones, entry.getString("zone")),
-                index(kinds, entry.getString("type")), entry.getInteger("group", 0), state,
-                weight, launched);
-        boolean outdated = endpoint.active && (state != Listed.State.READY || launched != endpoint.launched
-                || !address.equals(endpoint.address));
+        Listed row = new Listed(
+                id,
+                index(zones, entry.getString("zone")),
+                index(kinds, entry.getString("type")),
+                entry.getInteger("group", 0),
+                state,
+                weight,
+                launched);
+        boolean outdated = endpoint.active
+                && (state != Listed.State.READY || launched != endpoint.launched || !address.equals(endpoint.address));
         endpoint.address = address;
         endpoint.launched = launched;
         if (state == Listed.State.READY) {
--- a/sidecar/src/main/java/trestlegrade/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/Sidecar.java
@@ -27,6 +27,7 @@
     private final CountDownLatch failed = new CountDownLatch(1);
     /** With the settings as they are now. */
     private Commission inForce;
+
     private ListLease lease;
     private Desk desk;
     private Attempts attempts;
@@ -61,8 +62,9 @@
             Sidecar sidecar = new Sidecar(Commission.of(file, Map.of()), Map.of());
             Vertx vertx = sidecar.vertx();
             Context context = vertx.getOrCreateContext();
-            int played = Future.<Integer>future(ready -> context.runOnContext(v ->
-                    sidecar.start(vertx, context).onComplete(ready))).await(20, TimeUnit.SECONDS);
+            int played = Future.<Integer>future(ready -> context.runOnContext(
+                            v -> sidecar.start(vertx, context).onComplete(ready)))
+                    .await(20, TimeUnit.SECONDS);
             System.out.println("rehearse: ready after " + played + " transactions");
             return true;
         } catch (Exception e) {
@@ -82,11 +84,17 @@
 
     private Vertx vertx() {
         // The loop is watched by its own counters; the library's watcher need not look.
-        return Vertx.builder().withTransport(transport.transport())
-                .with(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                        .setInternalBlockingPoolSize(1).setBlockedThreadCheckInterval(Integer.MAX_VALUE)
-                        .setFileSystemOptions(new FileSystemOptions().setFileCachingEnabled(false)
-                                .setClassPathResolvingEnabled(false))).build();
+        return Vertx.builder()
+                .withTransport(transport.transport())
+                .with(new VertxOptions()
+                        .setEventLoopPoolSize(1)
+                        .setWorkerPoolSize(1)
+                        .setInternalBlockingPoolSize(1)
+                        .setBlockedThreadCheckInterval(Integer.MAX_VALUE)
+                        .setFileSystemOptions(new FileSystemOptions()
+                                .setFileCachingEnabled(false)
+                                .setClassPathResolvingEnabled(false)))
+                .build();
     }
 
     private boolean run() {
@@ -108,7 +116,8 @@
             }
             context.runOnContext(v -> leave());
             await(ended);
-            log.add(() -> Logger.info("serve code=ended counters={}", counters.report().encode()));
+            log.add(() -> Logger.info(
+                    "serve code=ended counters={}", counters.report().encode()));
             log.flush();
             // Ended as it was told to: the exit code of a signal would look like a fault.
             Runtime.getRuntime().halt(0);
@@ -138,18 +147,28 @@
         desk = new Desk(vertx, context, clock, counters, lateness, commission.terms(), commission.seed(), lease);
         attempts = new Attempts(vertx, clock, counters, lateness, desk::attemptEnded, commission, Attempts.SETTLED);
         Roster roster = new Roster(commission.zones(), commission.kinds(), attempts::outdated, counters);
-        discovery = new Discovery(vertx, clock, counters, lateness, commission.discovery(),
-                commission.version(), desk, lease, commission.seed() + 1);
+        discovery = new Discovery(
+                vertx,
+                clock,
+                counters,
+                lateness,
+                commission.discovery(),
+                commission.version(),
+                desk,
+                lease,
+                commission.seed() + 1);
         discovery.adopt(commission.terms());
         front = new Front(vertx, context, clock, counters, desk, roster, commission, clients, transport, lateness);
         gauges(vertx);
         desk.start(roster, attempts, discovery::watch, commission.known());
-        return discovery.relied().compose(v -> front.listen())
-                .onFailure(e -> log.add(() -> Logger.error("serve code=listen-failed listen={} cause={}",
-                        commission.listen(), e.getMessage())))
+        return discovery
+                .relied()
+                .compose(v -> front.listen())
+                .onFailure(e -> log.add(() -> Logger.error(
+                        "serve code=listen-failed listen={} cause={}", commission.listen(), e.getMessage())))
                 .compose(up -> {
-                    log.add(() -> Logger.info("serve code=listening name={} listen={}", commission.name(),
-                            commission.listen()));
+                    log.add(() -> Logger.info(
+                            "serve code=listening name={} listen={}", commission.name(), commission.listen()));
                     return new Rehearsal(vertx, context, clock, lateness, commission, log).play();
                 })
                 .onSuccess(played -> {
@@ -187,8 +206,8 @@
             log.add(() -> Logger.warn("reload code=unreadable cause={}", e.getMessage()));
             return;
         }
-        log.add(() -> Logger.info("reload code=read discovery={} at_restart={}", told.discovery(),
-                commission.differsIn(told)));
+        log.add(() -> Logger.info(
+                "reload code=read discovery={} at_restart={}", told.discovery(), commission.differsIn(told)));
         context.runOnContext(v -> {
             if (discovery != null) {
                 discovery.moveTo(told.discovery());
@@ -205,8 +224,12 @@
             front.adopt(told);
             discovery.adopt(told.terms());
             lease.grace(told.drainGrace());
-            desk.adopt(told.terms(), commission.seed(),
-                    told.zones().isEmpty() ? null : told.zones().get(told.terms().zone()));
+            desk.adopt(
+                    told.terms(),
+                    commission.seed(),
+                    told.zones().isEmpty()
+                            ? null
+                            : told.zones().get(told.terms().zone()));
             int open = desk.open();
             log.add(() -> Logger.info("reload code=adopted open={}", open));
         }
--- a/sidecar/src/main/java/trestlegrade/sidecar/StrictDecoder.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/StrictDecoder.java
@@ -19,11 +19,13 @@
 final class StrictDecoder extends VertxHttpRequestDecoder {
     /** What still comes is read, so that the connection's end is seen, and dropped. */
     boolean deaf;
+
     private final Clock clock;
     private PipeliningGate gate;
     LingeringClose linger;
     /** When the first and the latest bytes of a message came that is not whole yet. */
     private long begun;
+
     private long heard;
     private boolean partial;
     private final long opened;
@@ -37,9 +39,15 @@
     }
 
     /** Takes the place of the usual one, before anything has been read. */
-    static StrictDecoder on(HttpConnection connection, HttpServerOptions options, Clock clock, Lateness lateness,
-                            PipeliningGate.Held held, Runnable tooFar) {
-        Channel channel = ((HttpServerConnection) connection).channelHandlerContext().channel();
+    static StrictDecoder on(
+            HttpConnection connection,
+            HttpServerOptions options,
+            Clock clock,
+            Lateness lateness,
+            PipeliningGate.Held held,
+            Runnable tooFar) {
+        Channel channel =
+                ((HttpServerConnection) connection).channelHandlerContext().channel();
         ChannelPipeline pipeline = channel.pipeline();
         long queued = channel instanceof InterruptibleSocketChannel own ? own.queuedNanoseconds() / NANOSECONDS : 0;
         if (queued > 0) {
--- a/sidecar/src/main/java/trestlegrade/sidecar/TimerRoundingIoHandler.java
+++ b/sidecar/src/main/java/trestlegrade/sidecar/TimerRoundingIoHandler.java
@@ -41,7 +41,8 @@
 
     /** In nanoseconds; 0 or less is due, and the largest value means that nothing ever is. */
     static long wholeMilliseconds(long delay) {
-        return delay <= 0 || delay > Long.MAX_VALUE - MILLISECOND ? delay
+        return delay <= 0 || delay > Long.MAX_VALUE - MILLISECOND
+                ? delay
                 : (delay + MILLISECOND - 1) / MILLISECOND * MILLISECOND;
     }
 
--- a/sidecar/src/test/java/trestlegrade/ColdFleetTest.java
+++ b/sidecar/src/test/java/trestlegrade/ColdFleetTest.java
@@ -32,7 +32,7 @@
     /** More by hand, for the distribution: -Dcold.seeds=1000. */
     private static final int SEEDS = Integer.getInteger("cold.seeds", 2);
 
-    private record Event(long at, long order, Runnable what) { }
+    private record Event(long at, long order, Runnable what) {}
 
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
@@ -81,7 +81,8 @@
 
         /** A process that knows nothing of one before it under its name. */
         private void start() {
-            balance = new Balance(TermsReader.ofLines("n_instances=" + sidecars + "\nmy_number=" + number + """
+            balance = new Balance(
+                    TermsReader.ofLines("n_instances=" + sidecars + "\nmy_number=" + number + """
 
                     ceilings.cancelling=true
                     ceilings.max_hops=3
@@ -93,7 +94,10 @@
                     safety.cold_from=0.15
                     safety.cold=9000
                     safety.fall_multiple=2
-                    safety.fall=2000""").terms(), random.nextLong(), this);
+                    safety.fall=2000""")
+                            .terms(),
+                    random.nextLong(),
+                    this);
             balance.start(now);
         }
 
@@ -117,13 +121,13 @@
         }
 
         @Override
-        public void callOff(long tx, int attempt) { }
+        public void callOff(long tx, int attempt) {}
 
         @Override
-        public void rollBack(long tx, long pause, Refusal why) { }
+        public void rollBack(long tx, long pause, Refusal why) {}
 
         @Override
-        public void abandon(long tx, Refusal why) { }
+        public void abandon(long tx, Refusal why) {}
 
         @Override
         public void wake(long span) {
@@ -132,7 +136,7 @@
         }
 
         @Override
-        public void subscribe() { }
+        public void subscribe() {}
     }
 
     private double busier = 1;
@@ -150,8 +154,8 @@
         double part = lately.size() / (allowed + 2 * Math.sqrt(allowed) + 2);
         if (part > most) {
             most = part;
-            worst = "%d in the time in which %.1f are allowed, %d ms after the start".formatted(lately.size(), allowed,
-                    (now - launched.get(server)) / 10);
+            worst = "%d in the time in which %.1f are allowed, %d ms after the start"
+                    .formatted(lately.size(), allowed, (now - launched.get(server)) / 10);
         }
     }
 
@@ -161,12 +165,28 @@
      * that part of the sidecars starts anew in the midst of the ramp, within half a second.
      */
     @ParameterizedTest
-    @CsvSource({"6, 12, 2, 2, true, 0", "20, 12, 3, 1, true, 0", "20, 12, 3, 1, false, 0", "30, 20, 5, 1, true, 0",
-        "30, 20, 5, 1, false, 0", "30, 12, 6, 2, true, 0", "30, 12, 6, 2, false, 0", "120, 30, 8, 1, true, 0",
-        "120, 30, 8, 1, false, 0", "120, 60, 20, 4, true, 0", "120, 10, 20, 1, true, 0", "120, 10, 20, 1, false, 0",
-        "1, 6, 2, 1, true, 0", "1, 6, 2, 1, false, 1", "6, 12, 2, 2, true, 0.7", "30, 20, 5, 1, true, 0.7",
-        "120, 60, 20, 4, true, 0.7", "1000, 250, 40, 4, true, 0.7"})
-    void coldServersAreNotPushedByAllTogether(int sidecars, int warm, int cold, int cores, boolean known, double restarted) {
+    @CsvSource({
+        "6, 12, 2, 2, true, 0",
+        "20, 12, 3, 1, true, 0",
+        "20, 12, 3, 1, false, 0",
+        "30, 20, 5, 1, true, 0",
+        "30, 20, 5, 1, false, 0",
+        "30, 12, 6, 2, true, 0",
+        "30, 12, 6, 2, false, 0",
+        "120, 30, 8, 1, true, 0",
+        "120, 30, 8, 1, false, 0",
+        "120, 60, 20, 4, true, 0",
+        "120, 10, 20, 1, true, 0",
+        "120, 10, 20, 1, false, 0",
+        "1, 6, 2, 1, true, 0",
+        "1, 6, 2, 1, false, 1",
+        "6, 12, 2, 2, true, 0.7",
+        "30, 20, 5, 1, true, 0.7",
+        "120, 60, 20, 4, true, 0.7",
+        "1000, 250, 40, 4, true, 0.7"
+    })
+    void coldServersAreNotPushedByAllTogether(
+            int sidecars, int warm, int cold, int cores, boolean known, double restarted) {
         List<Double> worsts = new ArrayList<>();
         int seeds = sidecars < MANY ? SEEDS : Math.max(1, SEEDS / 2);
         for (int seed = 1; seed <= seeds; seed++) {
@@ -178,9 +198,20 @@
         if (SEEDS > 2) {
             worsts.sort(null);
             long over = worsts.stream().filter(each -> each > 1).count();
-            System.out.printf("cold servers: %d sidecars, %d warm, %d cold, %d cores, known %b, restarted %.1f: %d of %d over, "
-                    + "median %.2f, nine in ten %.2f, most %.2f%n", sidecars, warm, cold, cores, known, restarted, over, seeds,
-                    worsts.get(seeds / 2), worsts.get(seeds * 9 / 10), worsts.get(seeds - 1));
+            System.out.printf(
+                    "cold servers: %d sidecars, %d warm, %d cold, %d cores, known %b, restarted %.1f: %d of %d over, "
+                            + "median %.2f, nine in ten %.2f, most %.2f%n",
+                    sidecars,
+                    warm,
+                    cold,
+                    cores,
+                    known,
+                    restarted,
+                    over,
+                    seeds,
+                    worsts.get(seeds / 2),
+                    worsts.get(seeds * 9 / 10),
+                    worsts.get(seeds - 1));
             assertTrue(over == 0, over + " seeds over");
         }
     }
@@ -193,7 +224,8 @@
         busier = 1;
         this.cores = cores;
         random = new Random(seed);
-        double[] parts = random.doubles(sidecars).map(u -> -Math.log(1 - u) + 0.2).toArray();
+        double[] parts =
+                random.doubles(sidecars).map(u -> -Math.log(1 - u) + 0.2).toArray();
         double whole = java.util.Arrays.stream(parts).sum();
         double rate = 0.7 * warm * cores * SECOND / WORK;
         List<Listed> rows = new ArrayList<>();
@@ -221,7 +253,8 @@
         }
         fleet.forEach(each -> in(random.nextInt(5_000), () -> each.balance.listed(now, rows, true, !known)));
         pass(3 * SECOND);
-        fleet.stream().filter(each -> random.nextDouble() < restarted)
+        fleet.stream()
+                .filter(each -> random.nextDouble() < restarted)
                 .forEach(each -> in(random.nextInt(5_000), () -> each.restart(rows)));
         pass(7 * SECOND);
     }
--- a/sidecar/src/test/java/trestlegrade/Desk.java
+++ b/sidecar/src/test/java/trestlegrade/Desk.java
@@ -11,7 +11,7 @@
  * A sidecar's decisions with a fleet of ten servers (ids 100 to 109), whose answers the test gives by hand.
  */
 final class Desk implements Outlet {
-    record Sent(long tx, long server, long timeout, int attempt) { }
+    record Sent(long tx, long server, long timeout, int attempt) {}
 
     final List<Sent> sent = new ArrayList<>();
     private final List<Long> sentAt = new ArrayList<>();
@@ -58,7 +58,10 @@
                 safety.fall_multiple=3
                 safety.fall=1000
                 profiles.count=3
-                """).append("ceilings.max_hops=").append(maxAttempts).append('\n');
+                """)
+                .append("ceilings.max_hops=")
+                .append(maxAttempts)
+                .append('\n');
         for (int i = 0; i < 3; i++) {
             String at = "profiles." + i + ".";
             settings.append(at + "service_goal=500\n" + at + "hard_limit=1000\n" + at + "revenue=" + (1 + i) + "\n"
@@ -166,7 +169,7 @@
     }
 
     @Override
-    public void wake(long span) { }
+    public void wake(long span) {}
 
     @Override
     public void subscribe() {
--- a/sidecar/src/test/java/trestlegrade/DiscoveryBackoffTest.java
+++ b/sidecar/src/test/java/trestlegrade/DiscoveryBackoffTest.java
@@ -22,10 +22,11 @@
     private static final int SEEDS = 200;
 
     /** A call that is made at this time, by the caller of this number. */
-    private record Call(long at, int caller) { }
+    private record Call(long at, int caller) {}
 
     private static DiscoveryBackoff backoff(int sidecars, long seed) {
-        return new DiscoveryBackoff(TermsReader.ofLines("n_instances=" + sidecars + """
+        return new DiscoveryBackoff(
+                TermsReader.ofLines("n_instances=" + sidecars + """
 
                 membership_mode=on_request
                 safety.cold_from=0.2
--- a/sidecar/src/test/java/trestlegrade/GradesTest.java
+++ b/sidecar/src/test/java/trestlegrade/GradesTest.java
@@ -49,7 +49,8 @@
             desk.now += 50;
             desk.end(attempt, bad && profile == 2 ? Outcome.ERROR : Outcome.COMMITTED, 200);
         }
-        assertTrue(attempts[2][1] < attempts[2][0] / 8,
+        assertTrue(
+                attempts[2][1] < attempts[2][0] / 8,
                 attempts[2][1] + " of the failing profile at servers that fail it");
         assertTrue(attempts[0][1] > attempts[0][0] / 4, attempts[0][1] + " of the other profile at the same servers");
     }
@@ -130,7 +131,9 @@
                 }
             }
         }
-        long dropped = desk.answers.stream().filter(answer -> answer.startsWith("rolled")).count();
+        long dropped = desk.answers.stream()
+                .filter(answer -> answer.startsWith("rolled"))
+                .count();
         assertTrue(dropped >= least && dropped <= most, dropped + " rolled back");
     }
 
@@ -157,8 +160,7 @@
     @CsvSource({"1, 0.1", "0.5, 0.0526", "2, 0.1818"})
     void shares(double weight, double share) {
         Desk desk = new Desk().fleet(State.READY, 0);
-        desk.balance.listed(desk.now, List.of(new Listed(103, 0, 0, 1, State.READY, weight, 0)),
-                false, false);
+        desk.balance.listed(desk.now, List.of(new Listed(103, 0, 0, 1, State.READY, weight, 0)), false, false);
         int attempts = desk.traffic(100_000, 103, Outcome.COMMITTED, 200);
         assertEquals(share, attempts / (double) desk.sent.size(), 0.015);
     }
@@ -200,8 +202,8 @@
     void fewAnswersAreBlendedWithTheKind() {
         Desk desk = new Desk();
         for (long id = 100; id < 110; id++) {
-            desk.balance.listed(desk.now, List.of(
-                    new Listed(id, 0, id < 104 ? 1 : 0, 0, State.READY, 1, 0)), false, false);
+            desk.balance.listed(
+                    desk.now, List.of(new Listed(id, 0, id < 104 ? 1 : 0, 0, State.READY, 1, 0)), false, false);
         }
         for (int i = 0; i < 60; i++) {
             desk.arrive(0);
@@ -229,7 +231,9 @@
             }
             desk.pass(4_400);
         }
-        long late = desk.sent.stream().filter(s -> s.tx() > 300 && s.attempt() == 0 && s.server() < 104).count();
+        long late = desk.sent.stream()
+                .filter(s -> s.tx() > 300 && s.attempt() == 0 && s.server() < 104)
+                .count();
         assertTrue(late > 0 && late < 30, late + " of 300 first attempts went to failing servers");
     }
 
@@ -277,10 +281,11 @@
     void windows() {
         int[] keepers = new int[10];
         for (int number = 0; number < 125; number++) {
-            Desk desk = new Desk("fees.connection=0.03", "n_instances=125", "my_number=" + number)
-                    .fleet(State.READY, 0);
+            Desk desk =
+                    new Desk("fees.connection=0.03", "n_instances=125", "my_number=" + number).fleet(State.READY, 0);
             desk.traffic(8_000, -1, null, 0);
-            long[] kept = desk.sent.stream().mapToLong(Desk.Sent::server).distinct().toArray();
+            long[] kept =
+                    desk.sent.stream().mapToLong(Desk.Sent::server).distinct().toArray();
             assertEquals(8, kept.length);
             assertEquals(4, Arrays.stream(kept).filter(id -> id % 2 == 0).count());
             for (long id : kept) {
@@ -295,7 +300,13 @@
         desk.list(desk.last().server(), State.DRAINING, 0);
         int before = desk.sent.size();
         desk.traffic(8_000, -1, null, 0);
-        assertEquals(8, desk.sent.stream().skip(before).map(Desk.Sent::server).distinct().count());
+        assertEquals(
+                8,
+                desk.sent.stream()
+                        .skip(before)
+                        .map(Desk.Sent::server)
+                        .distinct()
+                        .count());
     }
 
     /** Where a crossing costs much, picks stay in the own zone until it is crowded; else they go anywhere. */
@@ -314,8 +325,9 @@
             }
             desk.pass(100);
         }
-        double away = desk.sent.stream().skip(before).filter(s -> s.server() % 2 == 0).count()
-                / (double) (desk.sent.size() - before);
+        double away =
+                desk.sent.stream().skip(before).filter(s -> s.server() % 2 == 0).count()
+                        / (double) (desk.sent.size() - before);
         assertTrue(away >= least && away <= most, "away " + away);
     }
 
@@ -327,8 +339,7 @@
             keyed(desk, other);
         }
         long first = keyed(desk, 77);
-        desk.balance.listed(desk.now, List.of(
-                new Listed(first, 0, 0, 0, State.READY, 0.05, 0)), false, false);
+        desk.balance.listed(desk.now, List.of(new Listed(first, 0, 0, 0, State.READY, 0.05, 0)), false, false);
         assertTrue(keyed(desk, 77) != first);
         assertEquals(desk.balance.server(first == 100 ? 101 : 100).points, desk.balance.server(first).points);
         assertEquals(1, desk.balance.server(first).weight);
@@ -358,8 +369,11 @@
             passed[profile] += desk.sent.size() - before;
             if (i % 2 == 1) {
                 desk.pass(100);
-                desk.sent.stream().skip(Math.max(0, desk.sent.size() - 40)).filter(s -> s.tx() == desk.nextTx - 24)
-                        .toList().forEach(s -> desk.end(s, Outcome.COMMITTED, 1_400));
+                desk.sent.stream()
+                        .skip(Math.max(0, desk.sent.size() - 40))
+                        .filter(s -> s.tx() == desk.nextTx - 24)
+                        .toList()
+                        .forEach(s -> desk.end(s, Outcome.COMMITTED, 1_400));
             }
         }
         assertTrue(passed[2] > 100);
--- a/sidecar/src/test/java/trestlegrade/ListLeaseTest.java
+++ b/sidecar/src/test/java/trestlegrade/ListLeaseTest.java
@@ -16,9 +16,19 @@
 
     /** What happens at 130,000, and until when the list may be sent by; held up for 0.15 s it is still within the grace. */
     @ParameterizedTest
-    @CsvSource({"nothing, 10000, 167000", "nothing, 2500, 160833", "nothing, 0, 160000", "confirmed, 10000, 197000",
-        "late word, 10000, 167000", "unreachable, 10000, 197000", "moved, 10000, 177000", "unwatched, 10000, 137000",
-        "moved and confirmed, 10000, 197000", "unwatched and unreachable, 10000, 197000", "shorter grace, 10000, 160833"})
+    @CsvSource({
+        "nothing, 10000, 167000",
+        "nothing, 2500, 160833",
+        "nothing, 0, 160000",
+        "confirmed, 10000, 197000",
+        "late word, 10000, 167000",
+        "unreachable, 10000, 197000",
+        "moved, 10000, 177000",
+        "unwatched, 10000, 137000",
+        "moved and confirmed, 10000, 197000",
+        "unwatched and unreachable, 10000, 197000",
+        "shorter grace, 10000, 160833"
+    })
     void ends(String event, long grace, long end) {
         ListLease lease = new ListLease(100_000, grace);
         long now = 130_000;
@@ -40,7 +50,7 @@
                 lease.unreachable(now);
             }
             case "shorter grace" -> lease.grace(2_500);
-            default -> { }
+            default -> {}
         }
         assertTrue(lease.valid(end - 1));
         assertFalse(lease.valid(end));
--- a/sidecar/src/test/java/trestlegrade/RulesTest.java
+++ b/sidecar/src/test/java/trestlegrade/RulesTest.java
@@ -50,8 +50,10 @@
             assertEquals(List.of(), desk.answers);
             if (expected.equals("group")) {
                 long again = desk.last().server();
-                assertTrue(group == Group.CELL ? (first.server() - 100) / 2 == (again - 100) / 2
-                        : first.server() % 2 == again % 2);
+                assertTrue(
+                        group == Group.CELL
+                                ? (first.server() - 100) / 2 == (again - 100) / 2
+                                : first.server() % 2 == again % 2);
             }
         }
     }
@@ -281,8 +283,8 @@
     void customersThatTheSettingsDoNotNameAreNotTheFirst() {
         Desk desk = new Desk("tenants.count=2", "tenants.0.share=0.5", "tenants.1.share=0.5").fleet(State.READY, 0);
         for (int i = 0; i < 100; i++) {
-            desk.balance.arrived(desk.now, 1_000 + i, 0, i % 10 == 0 ? 0 : i % 10 == 1 ? 1 : i % 10 == 2 ? 7 : -1, 0,
-                    10_000, 0);
+            desk.balance.arrived(
+                    desk.now, 1_000 + i, 0, i % 10 == 0 ? 0 : i % 10 == 1 ? 1 : i % 10 == 2 ? 7 : -1, 0, 10_000, 0);
         }
         assertFalse(desk.balance.overShare(desk.now, new Tx(1, 0, 0, desk.now, desk.now + 10_000, 0)));
         assertFalse(desk.balance.overShare(desk.now, new Tx(1, 0, 1, desk.now, desk.now + 10_000, 0)));
@@ -328,7 +330,8 @@
             }
             desk.pass(100);
         }
-        long cold = desk.sent.stream().skip(before).filter(s -> s.server() == id).count();
+        long cold =
+                desk.sent.stream().skip(before).filter(s -> s.server() == id).count();
         assertEquals(start + 10_000, desk.now);
         assertTrue(cold >= 1 && cold <= 3 * 0.25 * 50, "sent " + cold);
     }
@@ -348,7 +351,12 @@
         assertTrue(sentEarly >= 10 && sentEarly <= 100, "sent " + sentEarly);
         desk.pass(12_000);
         assertEquals(2_000, desk.answers.size());
-        assertEquals(2_000, desk.answers.stream().map(a -> a.replaceAll("\\D", "")).distinct().count());
+        assertEquals(
+                2_000,
+                desk.answers.stream()
+                        .map(a -> a.replaceAll("\\D", ""))
+                        .distinct()
+                        .count());
     }
 
     @Test
--- a/sidecar/src/test/java/trestlegrade/benchlink/LinkTest.java
+++ b/sidecar/src/test/java/trestlegrade/benchlink/LinkTest.java
@@ -37,8 +37,9 @@
 
     private static String born(int instance, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
-        return String.format("03e8%04x0000000000000007%08x%s", instance, text.length,
-                HexFormat.of().formatHex(text));
+        return String.format(
+                "03e8%04x0000000000000007%08x%s",
+                instance, text.length, HexFormat.of().formatHex(text));
     }
 
     private static String talk(String hex) throws IOException {
@@ -47,11 +48,10 @@
         return HexFormat.of().formatHex(out.toByteArray());
     }
 
-    private static final String LIST = "044c 00000000 00000001 "
-            + "2c9011f2 01 0000 0000 01 3fc00000 0000000000000000";
+    private static final String LIST = "044c 00000000 00000001 " + "2c9011f2 01 0000 0000 01 3fc00000 0000000000000000";
     private static final String TOLD = "03f2 0003 00000029 01 00000000";
-    private static final String JOB = "03fc 0003 5d3a91c4 00 00000000 0000000000000000 4059000000000000 "
-            + "0000000000000000 0000";
+    private static final String JOB =
+            "03fc 0003 5d3a91c4 00 00000000 0000000000000000 4059000000000000 " + "0000000000000000 0000";
     private static final String WAKE = "041000034024000000000000" + "0000000000000000";
     private static final String ASK = "044c000301";
     private static final String SENT = "03e800035d3a91c42c9011f2" + "4059000000000000";
@@ -65,17 +65,18 @@
     @Test
     void aTransactionIsSentAndAnswered() throws IOException {
         String verdict = "0410 0003 5d3a91c4 00 2c9011f2 14 4032800000000000 00 00";
-        assertEquals("0000002d" + ASK + WAKE + SENT + "00000008" + "03fc00035d3a91c4",
+        assertEquals(
+                "0000002d" + ASK + WAKE + SENT + "00000008" + "03fc00035d3a91c4",
                 talk(frame(4, born(3, SETTINGS), LIST, TOLD, JOB) + frame(1, verdict)));
     }
 
     /** What comes for an instance that was stopped, or never was, is read and dropped. */
     @Test
     void stoppedInstances() throws IOException {
-        assertEquals("00000005" + ASK + "00000000",
+        assertEquals(
+                "00000005" + ASK + "00000000",
                 talk(frame(2, born(3, SETTINGS), "0442 0003") + frame(3, LIST, TOLD, JOB)));
-        assertEquals("0000000a" + ASK + ASK,
-                talk(frame(3, born(3, SETTINGS), "0442 0003", born(3, SETTINGS))));
+        assertEquals("0000000a" + ASK + ASK, talk(frame(3, born(3, SETTINGS), "0442 0003", born(3, SETTINGS))));
     }
 
     @ParameterizedTest
@@ -94,16 +95,17 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "00000000",
-        "0000000400000001" + CLOCK + "0442",
-        "ffffffff00000001" + CLOCK,
-        "0000000200000001" + CLOCK + "0442",
-        "0000000400000001" + CLOCK + "09990003",
-        "0000000600000001" + CLOCK + "044200030000",
-        "0000000000000001" + CLOCK,
-        "0000000d00000001" + CLOCK + "03f20003000000290200000007",
-    })
+    @ValueSource(
+            strings = {
+                "00000000",
+                "0000000400000001" + CLOCK + "0442",
+                "ffffffff00000001" + CLOCK,
+                "0000000200000001" + CLOCK + "0442",
+                "0000000400000001" + CLOCK + "09990003",
+                "0000000600000001" + CLOCK + "044200030000",
+                "0000000000000001" + CLOCK,
+                "0000000d00000001" + CLOCK + "03f20003000000290200000007",
+            })
     void malformed(String hex) {
         assertThrows(MalformedFrame.class, () -> talk(hex));
     }
--- a/sidecar/src/test/java/trestlegrade/sidecar/BodyMemoryIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/BodyMemoryIT.java
@@ -19,8 +19,8 @@
 
     private static String posted(int id) {
         String body = "x".repeat(Front.LONGEST_BODY);
-        return "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + id + "\r\nX-Expires-In: 39000m\r\nContent-Length: "
-                + body.length() + "\r\n\r\n" + body;
+        return "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + id
+                + "\r\nX-Expires-In: 39000m\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     @Test
@@ -43,7 +43,9 @@
             int id = i;
             answers.add(clients.submit(() -> client().ask(posted(id))));
         }
-        eventually(() -> counters().getLong("taken", 0L) + answers.stream().filter(Future::isDone).count() >= CLIENTS);
+        eventually(() -> counters().getLong("taken", 0L)
+                        + answers.stream().filter(Future::isDone).count()
+                >= CLIENTS);
         gate.open();
         int committed = 0;
         for (int i = 0; i < CLIENTS; i++) {
@@ -53,7 +55,9 @@
             assertTrue(served || got.startsWith("HTTP/1.1 503 "), got.substring(0, Math.min(60, got.length())));
             assertEquals(served, endpoint.saw("t" + i), "t" + i);
         }
-        assertTrue(committed > CLIENTS / 2 && committed < CLIENTS, committed + " committed, " + counters().encode());
+        assertTrue(
+                committed > CLIENTS / 2 && committed < CLIENTS,
+                committed + " committed, " + counters().encode());
         long refused = CLIENTS - committed;
         // Counted when such a connection ends, a second behind its answer or later.
         eventually(() -> counters().getJsonObject("connections_ended").getLong("client:no-memory", 0L) == refused);
--- a/sidecar/src/test/java/trestlegrade/sidecar/BoundedTransportTest.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/BoundedTransportTest.java
@@ -38,28 +38,37 @@
         for (int i = 0; i < descriptors.most(); i++) {
             descriptors.take();
         }
-        BoundedTransport transport = new BoundedTransport(descriptors, new Counters.Turns(), cause -> { });
+        BoundedTransport transport = new BoundedTransport(descriptors, new Counters.Turns(), cause -> {});
         MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory());
         CountDownLatch ended = new CountDownLatch(1);
         try (Socket client = new Socket()) {
-            int port = ((InetSocketAddress) new ServerBootstrap().group(loops)
-                    .channelFactory(transport.serverChannelFactory(false))
-                    .childHandler(new ChannelInboundHandlerAdapter() {
-                        @Override
-                        public void channelActive(ChannelHandlerContext context) {
-                            context.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {7}));
-                        }
-                    }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel().localAddress()).getPort();
+            int port = ((InetSocketAddress) new ServerBootstrap()
+                            .group(loops)
+                            .channelFactory(transport.serverChannelFactory(false))
+                            .childHandler(new ChannelInboundHandlerAdapter() {
+                                @Override
+                                public void channelActive(ChannelHandlerContext context) {
+                                    context.writeAndFlush(Unpooled.wrappedBuffer(new byte[] {7}));
+                                }
+                            })
+                            .bind(InetAddress.getLoopbackAddress(), 0)
+                            .sync()
+                            .channel()
+                            .localAddress())
+                    .getPort();
             client.setSoTimeout(5_000);
             client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             Loopback.eventually(descriptors::awaitedLately);
             EventLoop loop = loops.next();
             loop.execute(() -> {
                 // Due in one turn with the listener's two looks, and just before each.
-                loop.schedule(() -> {
-                    loop.schedule(descriptors::giveBack, 1, TimeUnit.MILLISECONDS);
-                    loop.execute(BoundedTransportTest::stall);
-                }, 1, TimeUnit.MILLISECONDS);
+                loop.schedule(
+                        () -> {
+                            loop.schedule(descriptors::giveBack, 1, TimeUnit.MILLISECONDS);
+                            loop.execute(BoundedTransportTest::stall);
+                        },
+                        1,
+                        TimeUnit.MILLISECONDS);
                 Clock clock = new Clock();
                 transport.shut(clock, clock.now() + 50_000, ended::countDown);
                 loop.execute(BoundedTransportTest::stall);
@@ -80,18 +89,24 @@
         for (int i = 0; i < descriptors.most(); i++) {
             descriptors.take();
         }
-        BoundedTransport transport = new BoundedTransport(descriptors, new Counters.Turns(), cause -> { });
+        BoundedTransport transport = new BoundedTransport(descriptors, new Counters.Turns(), cause -> {});
         MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory());
         BlockingQueue<InterruptibleSocketChannel> letIn = new LinkedBlockingQueue<>();
-        try (Socket first = new Socket(); Socket second = new Socket()) {
-            InetSocketAddress address = (InetSocketAddress) new ServerBootstrap().group(loops)
+        try (Socket first = new Socket();
+                Socket second = new Socket()) {
+            InetSocketAddress address = (InetSocketAddress) new ServerBootstrap()
+                    .group(loops)
                     .channelFactory(transport.serverChannelFactory(false))
                     .childHandler(new ChannelInitializer<InterruptibleSocketChannel>() {
                         @Override
                         protected void initChannel(InterruptibleSocketChannel client) {
                             letIn.add(client);
                         }
-                    }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel().localAddress();
+                    })
+                    .bind(InetAddress.getLoopbackAddress(), 0)
+                    .sync()
+                    .channel()
+                    .localAddress();
             first.connect(address);
             Loopback.eventually(descriptors::awaitedLately);
             Loopback.pause(200);
--- a/sidecar/src/test/java/trestlegrade/sidecar/ClientsIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/ClientsIT.java
@@ -88,8 +88,8 @@
             socket.setSoTimeout(10_000);
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             for (int i = 0; i < 150; i++) {
-                socket.getOutputStream().write(transaction("quote", "t" + i, 39_000)
-                        .getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream()
+                        .write(transaction("quote", "t" + i, 39_000).getBytes(StandardCharsets.ISO_8859_1));
             }
             pause(3_000);
             if (ends) {
@@ -102,7 +102,8 @@
             for (int i = 0; i < 150; i++) {
                 String got = message(in);
                 boolean whole = got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + body);
-                assertTrue(whole || ends && got.startsWith("HTTP/1.1 503 "),
+                assertTrue(
+                        whole || ends && got.startsWith("HTTP/1.1 503 "),
                         i + ": " + got.length() + " bytes, " + got.substring(0, Math.min(100, got.length())));
                 committed += whole ? 1 : 0;
             }
@@ -120,8 +121,8 @@
             socket.setReceiveBufferSize(4_096);
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             for (int i = 0; i < 150; i++) {
-                socket.getOutputStream().write(transaction("quote", "t" + i, 39_000)
-                        .getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream()
+                        .write(transaction("quote", "t" + i, 39_000).getBytes(StandardCharsets.ISO_8859_1));
             }
             eventually(() -> counters().getJsonObject("connections_ended").getLong("client:unread", 0L) == 1);
         }
@@ -159,8 +160,8 @@
             // Most of what a connection may stand idle is over when the next one begins.
             pause(1_500);
         }
-        String text = transaction("post-charge", "t", 9_000).replace("Content-Length: 2\r\n\r\nok",
-                "Content-Length: 10\r\n\r\n0123456789");
+        String text = transaction("post-charge", "t", 9_000)
+                .replace("Content-Length: 2\r\n\r\nok", "Content-Length: 10\r\n\r\n0123456789");
         int from = part.equals("head") ? 3 : text.length() - 8;
         client.write(text.substring(0, from));
         for (int i = 0; i < 6; i++) {
@@ -176,12 +177,17 @@
     @CsvSource({"head, ''", "body, 408"})
     void oneThatDripsForEverIsEnded(String part, String status) throws Exception {
         endpoint(r -> answer(200, "", "good"));
-        settings().put("profiles", new JsonArray(settings().getJsonArray("profiles").encode()
-                .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":3500")));
+        settings()
+                .put(
+                        "profiles",
+                        new JsonArray(settings()
+                                .getJsonArray("profiles")
+                                .encode()
+                                .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":3500")));
         serve();
         Client client = client();
-        String text = transaction("post-charge", "t", 3_000).replace("Content-Length: 2\r\n\r\nok",
-                "Content-Length: 1000\r\n\r\n" + "x".repeat(1_000));
+        String text = transaction("post-charge", "t", 3_000)
+                .replace("Content-Length: 2\r\n\r\nok", "Content-Length: 1000\r\n\r\n" + "x".repeat(1_000));
         int from = part.equals("head") ? 3 : text.length() - 990;
         client.write(text.substring(0, from));
         long start = System.nanoTime();
@@ -279,15 +285,18 @@
     void whatCannotBeReadIsAnsweredWholeWhileItsRestIsBeingSent(String fault) throws Exception {
         endpoint(r -> answer(200, "", "good"));
         serve();
-        String head = "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n" + switch (fault) {
-            case "two lengths" -> "Content-Length: 4000000\r\nTransfer-Encoding: chunked\r\n\r\n";
-            case "no length" -> "Content-Length: much\r\n\r\n";
-            default -> "A: " + "x".repeat(20_000) + "\r\n\r\n";
-        };
+        String head = "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n"
+                + switch (fault) {
+                    case "two lengths" -> "Content-Length: 4000000\r\nTransfer-Encoding: chunked\r\n\r\n";
+                    case "no length" -> "Content-Length: much\r\n\r\n";
+                    default -> "A: " + "x".repeat(20_000) + "\r\n\r\n";
+                };
         for (int i = 0; i < 5; i++) {
             String got = client().ask(head + "x".repeat(4_000_000));
-            assertTrue(got.startsWith(fault.equals("long head") ? "HTTP/1.1 431 " : "HTTP/1.1 400 ")
-                    && got.endsWith("\r\n\r\n"), got);
+            assertTrue(
+                    got.startsWith(fault.equals("long head") ? "HTTP/1.1 431 " : "HTTP/1.1 400 ")
+                            && got.endsWith("\r\n\r\n"),
+                    got);
         }
     }
 
@@ -336,8 +345,11 @@
             signal("STOP");
         }
         for (int i = 0; i < 30; i++) {
-            client().write(stopped ? "" : "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: b" + i
-                    + "\r\nContent-Length: 9\r\n\r\nb");
+            client().write(
+                            stopped
+                                    ? ""
+                                    : "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: b" + i
+                                            + "\r\nContent-Length: 9\r\n\r\nb");
         }
         Client next = client();
         long asked = System.nanoTime();
--- a/sidecar/src/test/java/trestlegrade/sidecar/EndsIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/EndsIT.java
@@ -20,14 +20,19 @@
     private final Stub endpoint = endpoint(r -> answer(200, "", "good"));
 
     private static JsonObject limits(JsonObject settings, long limit, long goal) {
-        return settings.put("profiles", new JsonArray(settings.getJsonArray("profiles").encode()
-                .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":" + limit)
-                .replaceAll("\"service_goal\":\\d+", "\"service_goal\":" + goal)));
+        return settings.put(
+                "profiles",
+                new JsonArray(settings.getJsonArray("profiles")
+                        .encode()
+                        .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":" + limit)
+                        .replaceAll("\"service_goal\":\\d+", "\"service_goal\":" + goal)));
     }
 
     private void reread(JsonObject settings) throws Exception {
         Path file = dir.resolve("config.json");
-        Files.writeString(file, new JsonObject(Files.readString(file)).put("settings", settings).encode());
+        Files.writeString(
+                file,
+                new JsonObject(Files.readString(file)).put("settings", settings).encode());
         int before = log().split("code=adopted", -1).length;
         signal("HUP");
         eventually(() -> log().split("code=adopted", -1).length == before + 1);
@@ -213,9 +218,13 @@
         pause(200);
         for (Stub place : places) {
             int read = log().split("code=read", -1).length;
-            // Opened for both, it waits for no reader: should there be none, what is written is lost, and told by the log.
+            // Opened for both, it waits for no reader: should there be none, what is written is lost, and told by the
+            // log.
             try (RandomAccessFile pipe = new RandomAccessFile(file.toFile(), "rw")) {
-                pipe.write(before.copy().put("discovery", "127.0.0.1:" + place.port()).encode().getBytes());
+                pipe.write(before.copy()
+                        .put("discovery", "127.0.0.1:" + place.port())
+                        .encode()
+                        .getBytes());
             }
             eventually(() -> log().split("code=read", -1).length == read + 1);
         }
--- a/sidecar/src/test/java/trestlegrade/sidecar/ForgottenIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/ForgottenIT.java
@@ -34,8 +34,8 @@
 
     private static String posted(String trace) {
         String body = "x".repeat(Front.LONGEST_BODY);
-        return "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + trace + "\r\nX-Expires-In: 900m\r\nContent-Length: "
-                + body.length() + "\r\n\r\n" + body;
+        return "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + trace
+                + "\r\nX-Expires-In: 900m\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     private void refused(int from, int to) {
@@ -51,7 +51,8 @@
     private void nothingIsHeld() {
         eventually(() -> {
             JsonObject now = counters().getJsonObject("now", new JsonObject());
-            return List.of("transactions", "decided_on", "open_ids").stream().allMatch(each -> now.getInteger(each, -1) == 0)
+            return List.of("transactions", "decided_on", "open_ids").stream()
+                            .allMatch(each -> now.getInteger(each, -1) == 0)
                     && now.getInteger("settings_in_use") == 1;
         });
     }
@@ -62,7 +63,9 @@
         eventually(() -> counters().getJsonObject("now") != null);
         IntStream.range(0, 8).parallel().forEach(i -> refused(i * MANY / 8, (i + 1) * MANY / 8));
         assertTrue(process.isAlive());
-        assertEquals(MANY, counters().getJsonObject("refused").getJsonObject("no_server").getInteger("rolled_back"));
+        assertEquals(
+                MANY,
+                counters().getJsonObject("refused").getJsonObject("no_server").getInteger("rolled_back"));
         nothingIsHeld();
         assertEquals(0, endpoint.seen.size());
     }
@@ -70,7 +73,9 @@
     /** The decisions under earlier settings go with the last transaction that was taken under them. */
     @Test
     void whatIsGivenUpUnderEarlierSettings() throws Exception {
-        settings().getJsonArray("profiles").forEach(each -> ((JsonObject) each).put("service_goal", 8_000).put("hard_limit", 9_000));
+        settings()
+                .getJsonArray("profiles")
+                .forEach(each -> ((JsonObject) each).put("service_goal", 8_000).put("hard_limit", 9_000));
         start();
         eventually(() -> counters().getJsonObject("now") != null);
         Client client = client();
--- a/sidecar/src/test/java/trestlegrade/sidecar/GoneClientIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/GoneClientIT.java
@@ -157,10 +157,18 @@
         pause(400);
         signal("CONT");
         eventually(() -> counters().getJsonObject("connections_ended").stream()
-                .filter(e -> e.getKey().startsWith("client:client-")).mapToLong(e -> (Integer) e.getValue()).sum() >= 20);
+                        .filter(e -> e.getKey().startsWith("client:client-"))
+                        .mapToLong(e -> (Integer) e.getValue())
+                        .sum()
+                >= 20);
         another();
-        assertEquals(before + 1, endpoint.seen.size(), () -> endpoint.seen.stream()
-                .map(r -> header(r, "X-Trace-Id")).toList().toString());
+        assertEquals(
+                before + 1,
+                endpoint.seen.size(),
+                () -> endpoint.seen.stream()
+                        .map(r -> header(r, "X-Trace-Id"))
+                        .toList()
+                        .toString());
     }
 
     /** All descriptors are held by clients that say nothing and then go all at once; others come, send and go behind. */
@@ -195,8 +203,12 @@
                 each.close();
             }
             eventually(() -> health() == 200);
-            assertEquals(List.of(), endpoint.seen.stream().map(r -> header(r, "X-Trace-Id"))
-                    .filter(t -> t.matches(trace + "-([2-9]|1\\d)")).toList());
+            assertEquals(
+                    List.of(),
+                    endpoint.seen.stream()
+                            .map(r -> header(r, "X-Trace-Id"))
+                            .filter(t -> t.matches(trace + "-([2-9]|1\\d)"))
+                            .toList());
         }
     }
 
@@ -223,7 +235,8 @@
         client.close();
         leftIsKnown();
         gate.open();
-        eventually(() -> cancelling || counters().getJsonObject("attempts_ended").size() > 0);
+        eventually(
+                () -> cancelling || counters().getJsonObject("attempts_ended").size() > 0);
         another();
         assertEquals(2, endpoint.seen.size());
         assertEquals(2, counters().getLong("taken"));
--- a/sidecar/src/test/java/trestlegrade/sidecar/LatenessTest.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/LatenessTest.java
@@ -19,17 +19,20 @@
     private long now;
     private Handler<Long> pulse;
     private final List<Handler<Long>> timers = new ArrayList<>();
-    private final Lateness lateness = new Lateness(vertx(), new Clock() {
-        @Override
-        long now() {
-            return now;
-        }
-    }, new Histogram(600_000, 2));
+    private final Lateness lateness = new Lateness(
+            vertx(),
+            new Clock() {
+                @Override
+                long now() {
+                    return now;
+                }
+            },
+            new Histogram(600_000, 2));
 
     @SuppressWarnings("unchecked")
     private Vertx vertx() {
-        return (Vertx) Proxy.newProxyInstance(Vertx.class.getClassLoader(), new Class<?>[] {Vertx.class},
-                (proxy, method, arguments) -> {
+        return (Vertx) Proxy.newProxyInstance(
+                Vertx.class.getClassLoader(), new Class<?>[] {Vertx.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("setPeriodic")) {
                         pulse = (Handler<Long>) arguments[1];
                     } else {
--- a/sidecar/src/test/java/trestlegrade/sidecar/ListReaderTest.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/ListReaderTest.java
@@ -14,9 +14,16 @@
 
 class ListReaderTest {
     private static final List<JsonObject> LINES = List.of(
-            new JsonObject().put("index", 8).put("snapshot", true).put("endpoints", new JsonArray()
-                    .add(new JsonObject().put("name", "s-{\"}]\\").put("zone", "gr\u00f6\u00dfte"))
-                    .add(new JsonObject().put("name", "\n\t ").put("weight", 1.5))),
+            new JsonObject()
+                    .put("index", 8)
+                    .put("snapshot", true)
+                    .put(
+                            "endpoints",
+                            new JsonArray()
+                                    .add(new JsonObject()
+                                            .put("name", "s-{\"}]\\")
+                                            .put("zone", "gr\u00f6\u00dfte"))
+                                    .add(new JsonObject().put("name", "\n\t ").put("weight", 1.5))),
             new JsonObject().put("index", 9).put("endpoints", new JsonArray()),
             new JsonObject().put("index", 1L << 40).put("x", new JsonObject().put("y", new JsonArray().add("[{"))));
 
@@ -49,16 +56,27 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"nonsense\n", "[]", "7 ", "\"text\"", "{\"index\":}", "}", "{\"a\":1]", "null\n",
-        "[{\"index\":1}]", "{\"a\":\"\u0001\"}"})
+    @ValueSource(
+            strings = {
+                "nonsense\n",
+                "[]",
+                "7 ",
+                "\"text\"",
+                "{\"index\":}",
+                "}",
+                "{\"a\":1]",
+                "null\n",
+                "[{\"index\":1}]",
+                "{\"a\":\"\u0001\"}"
+            })
     void whatIsNoObjectThrows(String text) {
-        assertThrows(RuntimeException.class, () -> new ListReader(told -> { }).read(Buffer.buffer(text)));
+        assertThrows(RuntimeException.class, () -> new ListReader(told -> {}).read(Buffer.buffer(text)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{\"a\":\"", "{\"a\":[", "{", "{\"a\":1,"})
     void anObjectWithoutAnEndIsNotHeldForEver(String start) {
-        ListReader reader = new ListReader(told -> { });
+        ListReader reader = new ListReader(told -> {});
         String more = start.contains("\"a\":\"") ? "x" : start.contains("[") ? "1," : " ";
         reader.read(Buffer.buffer(start));
         assertThrows(RuntimeException.class, () -> {
--- a/sidecar/src/test/java/trestlegrade/sidecar/ListsIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/ListsIT.java
@@ -104,14 +104,23 @@
 
     /** The version held moves with what was applied, so a line that is unusable is asked for again. */
     @ParameterizedTest
-    @CsvSource(value = {
-        "{'index':8,'snapshot':false}|0", "{'index':8,'endpoints':{}}|0", "{'index':8,'endpoints':null}|0",
-        "{'index':null,'endpoints':[LEAVING]}|1", "{'index':'x','endpoints':[LEAVING]}|1",
-        "{'index':8,'snapshot':'yes','endpoints':[LEAVING]}|1", "nonsense|0", "[8]|0", "{'index':8,'endpoints':[}|0"},
-        delimiter = '|')
+    @CsvSource(
+            value = {
+                "{'index':8,'snapshot':false}|0",
+                "{'index':8,'endpoints':{}}|0",
+                "{'index':8,'endpoints':null}|0",
+                "{'index':null,'endpoints':[LEAVING]}|1",
+                "{'index':'x','endpoints':[LEAVING]}|1",
+                "{'index':8,'snapshot':'yes','endpoints':[LEAVING]}|1",
+                "nonsense|0",
+                "[8]|0",
+                "{'index':8,'endpoints':[}|0"
+            },
+            delimiter = '|')
     void anUnusableLineIsAskedForAgain(String line, int applied) throws Exception {
         watched();
-        discovery.line(line.replace('\'', '"').replace("LEAVING", entry(0, "leaving").encode()));
+        discovery.line(
+                line.replace('\'', '"').replace("LEAVING", entry(0, "leaving").encode()));
         eventually(() -> discovery.seen.size() == 2);
         assertTrue(discovery.seen.get(1).startsWith("GET /catalog/members?stream=1&index=7 "), discovery.seen.get(1));
         assertEquals(1, counters().getLong("list_lines_bad"));
@@ -133,18 +142,28 @@
 
     /** What an unreadable entry says for sure counts, in a change and in a whole list; the others are as listed. */
     @ParameterizedTest
-    @CsvSource(value = {
-        "{'name':'s-0','status':'left','address':7}|gone", "{'name':'s-0','status':'leaving','address':null}|gone",
-        "{'name':'s-0','status':'leaving','zone':[]}|gone", "{'name':'s-0','status':'active','address':'nowhere'}|stays",
-        "{'name':'s-0','status':'active','address':'ADDRESS','weight':'heavy'}|stays",
-        "{'name':'s-0','status':'active','address':'ADDRESS','weight':-1}|stays",
-        "{'name':'s-0','status':'active','address':'ADDRESS','since_ms':'then'}|stays",
-        "{'name':7,'status':'leaving','address':'ADDRESS'}|gone", "{'name':7,'status':'active','address':'ADDRESS'}|stays",
-        "{'name':'s-9','status':'left','address':7}|absent", "{'name':null,'status':'left'}|absent", "7|absent",
-        "null|absent"}, delimiter = '|')
+    @CsvSource(
+            value = {
+                "{'name':'s-0','status':'left','address':7}|gone",
+                "{'name':'s-0','status':'leaving','address':null}|gone",
+                "{'name':'s-0','status':'leaving','zone':[]}|gone",
+                "{'name':'s-0','status':'active','address':'nowhere'}|stays",
+                "{'name':'s-0','status':'active','address':'ADDRESS','weight':'heavy'}|stays",
+                "{'name':'s-0','status':'active','address':'ADDRESS','weight':-1}|stays",
+                "{'name':'s-0','status':'active','address':'ADDRESS','since_ms':'then'}|stays",
+                "{'name':7,'status':'leaving','address':'ADDRESS'}|gone",
+                "{'name':7,'status':'active','address':'ADDRESS'}|stays",
+                "{'name':'s-9','status':'left','address':7}|absent",
+                "{'name':null,'status':'left'}|absent",
+                "7|absent",
+                "null|absent"
+            },
+            delimiter = '|')
     void anUnreadableEntrySaysWhatItSays(String unreadable, String becomes) throws Exception {
         watched();
-        String entry = unreadable.replace('\'', '"').replace("ADDRESS", entry(0, "active").getString("address"));
+        String entry = unreadable
+                .replace('\'', '"')
+                .replace("ADDRESS", entry(0, "active").getString("address"));
         for (boolean whole : new boolean[] {false, true}) {
             String here = list(8, true, entry(0, "active"), entry(1, "active"));
             discovery.line(here);
