--- a/sidecar/src/test/java/trestlegrade/sidecar/Loopback.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/Loopback.java
@@ -8,7 +8,6 @@
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
-import java.io.OutputStream;
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -48,6 +47,7 @@
 
     @TempDir
     Path dir;
+
     final List<AutoCloseable> opened = new ArrayList<>();
     final Stub discovery = new Stub(r -> HANG);
     final List<Stub> endpoints = new ArrayList<>();
@@ -96,9 +96,15 @@
         if (descriptorsBounded) {
             command.addAll(List.of("sh", "-c", "ulimit -n " + sockets + " && exec \"$@\"", "sh"));
         }
-        command.addAll(List.of("java", "-XX:SharedArchiveFile=sidecar/target/trestlegrade.jsa", "@deploy/jvm.options", "-jar",
-                "sidecar/target/trestlegrade.jar", "serve"));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
+        command.addAll(List.of(
+                "java",
+                "-XX:SharedArchiveFile=sidecar/target/trestlegrade.jsa",
+                "@deploy/jvm.options",
+                "-jar",
+                "sidecar/target/trestlegrade.jar",
+                "serve"));
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectErrorStream(true)
                 .redirectOutput(output == null ? ProcessBuilder.Redirect.to(log.toFile()) : output);
         if (verbose) {
             builder.environment().put("JAVA_TOOL_OPTIONS", "-Xlog:class+load");
@@ -116,10 +122,17 @@
                 known.add(entry(i, "active"));
             }
         }
-        return new JsonObject().put("name", "n1").put("listen", "127.0.0.1:" + port)
-                .put("discovery", "127.0.0.1:" + discovery.port()).put("seed", "8c1f30d27a5be964")
-                .put("limits", new JsonObject().put("cores", 1.0).put("memory_mb", 192).put("sockets", sockets))
-                .put("known", new JsonObject().put("index", 7).put("snapshot", true).put("endpoints", known))
+        return new JsonObject()
+                .put("name", "n1")
+                .put("listen", "127.0.0.1:" + port)
+                .put("discovery", "127.0.0.1:" + discovery.port())
+                .put("seed", "8c1f30d27a5be964")
+                .put(
+                        "limits",
+                        new JsonObject().put("cores", 1.0).put("memory_mb", 192).put("sockets", sockets))
+                .put(
+                        "known",
+                        new JsonObject().put("index", 7).put("snapshot", true).put("endpoints", known))
                 .put("settings", settings());
     }
 
@@ -138,19 +151,33 @@
 
     /** Goals and limits of 40 s: nothing is rolled back or over because the machine is slow. */
     void patient() {
-        settings().put("profiles", new JsonArray(settings().getJsonArray("profiles").encode()
-                .replaceAll("\"(hard_limit|service_goal)\":\\d+", "\"$1\":40000")));
+        settings()
+                .put(
+                        "profiles",
+                        new JsonArray(settings()
+                                .getJsonArray("profiles")
+                                .encode()
+                                .replaceAll("\"(hard_limit|service_goal)\":\\d+", "\"$1\":40000")));
     }
 
     JsonObject entry(int endpoint, String status) {
-        return new JsonObject().put("name", "s-" + endpoint)
-                .put("address", "127.0.0.1:" + endpoints.get(endpoint).port()).put("zone", "a").put("type", "m1").put("group", 0).put("status", status).put("weight", 1.0)
+        return new JsonObject()
+                .put("name", "s-" + endpoint)
+                .put("address", "127.0.0.1:" + endpoints.get(endpoint).port())
+                .put("zone", "a")
+                .put("type", "m1")
+                .put("group", 0)
+                .put("status", status)
+                .put("weight", 1.0)
                 .put("since_ms", 0);
     }
 
     static String list(int version, boolean whole, JsonObject... entries) {
-        return new JsonObject().put("index", version).put("snapshot", whole)
-                .put("endpoints", new JsonArray(List.of(entries))).encode();
+        return new JsonObject()
+                .put("index", version)
+                .put("snapshot", whole)
+                .put("endpoints", new JsonArray(List.of(entries)))
+                .encode();
     }
 
     Stub endpoint(Function<String, String> answers) {
@@ -172,7 +199,8 @@
 
     static int health(int port) {
         try (Client client = new Client(port)) {
-            return Integer.parseInt(client.ask("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").substring(9, 12));
+            return Integer.parseInt(
+                    client.ask("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").substring(9, 12));
         } catch (IOException e) {
             return 0;
         }
@@ -255,8 +283,8 @@
         }
         if (text.indexOf("\r\n\r\n") >= 0) {
             String length = header(text.toString(), "Content-Length");
-            text.append(new String(in.readNBytes(length == null ? 0 : Integer.parseInt(length)),
-                    StandardCharsets.ISO_8859_1));
+            text.append(new String(
+                    in.readNBytes(length == null ? 0 : Integer.parseInt(length)), StandardCharsets.ISO_8859_1));
         }
         return text.toString();
     }
@@ -335,6 +363,7 @@
         volatile Function<String, String> answers;
         /** Sent right behind each answer in a write of its own, or the end of the connection. */
         volatile String afterwards = HANG;
+
         volatile int connections;
         /** Milliseconds behind each answer after which it is sent once more; 0 for never. */
         volatile int straysAfter;
@@ -421,8 +450,8 @@
             Socket socket = sockets.get(watch);
             String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
             String chunk = Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
-            socket.getOutputStream().write(((begun.add(socket) ? head : "") + chunk)
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream()
+                    .write(((begun.add(socket) ? head : "") + chunk).getBytes(StandardCharsets.ISO_8859_1));
         }
 
         private final Set<Socket> begun = new HashSet<>();
@@ -510,7 +539,11 @@
     }
 
     void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     String log() {
--- a/sidecar/src/test/java/trestlegrade/sidecar/PooledConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/PooledConnectionsIT.java
@@ -30,12 +30,15 @@
         for (int i = 0; i < 60; i++) {
             String got = client.ask(transaction(profile, "t" + i, 900));
             String whose = got.substring(got.indexOf("\r\n\r\n") + 4);
-            assertTrue(got.startsWith("HTTP/1.1 200 ") && whose.equals("t" + i), () -> got + ", written "
-                    + endpoint.strayed.getOrDefault(whose, 0L) / 1_000_000 + " ms behind its first");
+            assertTrue(
+                    got.startsWith("HTTP/1.1 200 ") && whose.equals("t" + i),
+                    () -> got + ", written " + endpoint.strayed.getOrDefault(whose, 0L) / 1_000_000
+                            + " ms behind its first");
             // The connection has been looked at since its answer, and the stray one is not there yet.
             pause(4);
         }
-        assertTrue(counters().getJsonObject("connections_ended").getLong("pooled:excess") > 10,
+        assertTrue(
+                counters().getJsonObject("connections_ended").getLong("pooled:excess") > 10,
                 () -> counters().encode());
     }
 
@@ -99,7 +102,8 @@
             String got = each.read();
             assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("u" + clients.indexOf(each)), got);
         }
-        assertEquals(10, endpoint.seen.stream().filter(r -> r.startsWith("POST")).count());
+        assertEquals(
+                10, endpoint.seen.stream().filter(r -> r.startsWith("POST")).count());
     }
 
     /** The process stands still; an answer, and the end of its transaction, wait for the same turn: one of them counts. */
@@ -128,7 +132,8 @@
         for (Client each : clients) {
             String got = each.read();
             int i = clients.indexOf(each);
-            assertTrue(got.endsWith("\r\n\r\nu" + i) || got.startsWith(i % 2 == 0 ? "HTTP/1.1 503 " : "HTTP/1.1 502 "),
+            assertTrue(
+                    got.endsWith("\r\n\r\nu" + i) || got.startsWith(i % 2 == 0 ? "HTTP/1.1 503 " : "HTTP/1.1 502 "),
                     got);
         }
         // One answer to each: the next on the same connection is the next one's own.
@@ -137,7 +142,10 @@
             String got = each.ask(transaction("quote", trace, 900));
             assertTrue(got.endsWith("\r\n\r\n" + trace) || got.startsWith("HTTP/1.1 503 "), got);
         }
-        assertEquals(40, counters().getLong("committed") + counters().getLong("rolled_back")
-                + counters().getLong("abandoned"));
+        assertEquals(
+                40,
+                counters().getLong("committed")
+                        + counters().getLong("rolled_back")
+                        + counters().getLong("abandoned"));
     }
 }
--- a/sidecar/src/test/java/trestlegrade/sidecar/RosterTest.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/RosterTest.java
@@ -14,11 +14,16 @@
     /** Two zones taken for one would let a journalled transaction go to endpoints that do not know of its first attempt. */
     @Test
     void aThousandZonesAndKindsStayApart() {
-        Roster roster = new Roster(List.of("z0"), List.of(), endpoint -> { }, new Counters(new LogLines()));
+        Roster roster = new Roster(List.of("z0"), List.of(), endpoint -> {}, new Counters(new LogLines()));
         JsonArray entries = new JsonArray();
         for (int i = 0; i < 1_024; i++) {
-            entries.add(new JsonObject().put("name", "s-" + i).put("address", "127.0.0.1:" + (1_000 + i))
-                    .put("zone", "z" + i).put("type", "m" + i).put("group", i).put("status", "active"));
+            entries.add(new JsonObject()
+                    .put("name", "s-" + i)
+                    .put("address", "127.0.0.1:" + (1_000 + i))
+                    .put("zone", "z" + i)
+                    .put("type", "m" + i)
+                    .put("group", i)
+                    .put("status", "active"));
         }
         List<Listed> rows = roster.take(entries, true);
         assertEquals(1_024, rows.size());
--- a/sidecar/src/test/java/trestlegrade/sidecar/ServeIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/ServeIT.java
@@ -33,8 +33,8 @@
 
     @Test
     void goesOnAsTheBytesThatCame() throws Exception {
-        Stub endpoint = endpoint(r -> answer(200, "Content-Type: text/x-own\r\nKeep-Alive: timeout=5\r\n",
-                "served \u00e9\n"));
+        Stub endpoint =
+                endpoint(r -> answer(200, "Content-Type: text/x-own\r\nKeep-Alive: timeout=5\r\n", "served \u00e9\n"));
         serve();
         // The log is written on a thread of its own, behind the moment at which the sidecar calls itself healthy.
         eventually(() -> log().matches("(?s).*code=ready rehearsed=[1-9]\\d* .*"));
@@ -72,10 +72,15 @@
         serve();
         assertTrue(client().ask(transaction("quote", "t", 900)).startsWith("HTTP/1.1 200 "));
         List<String> loaded = Files.readAllLines(dir.resolve("log"), StandardCharsets.ISO_8859_1).stream()
-                .filter(line -> line.contains("[class,load")).toList();
+                .filter(line -> line.contains("[class,load"))
+                .toList();
         assertTrue(loaded.stream().anyMatch(line -> line.contains("trestlegrade.sidecar.Attempts")));
-        assertEquals(List.of(), loaded.stream().filter(line -> line.contains("ChunkEvent")
-                || line.contains("BufferEvent") || line.contains("picocli")).toList());
+        assertEquals(
+                List.of(),
+                loaded.stream()
+                        .filter(line ->
+                                line.contains("ChunkEvent") || line.contains("BufferEvent") || line.contains("picocli"))
+                        .toList());
     }
 
     /** Twenty turns a second for the look at how late the loop is, and as many for all other regular looks. */
@@ -107,7 +112,8 @@
         "quote, closes, 200", "post-charge, closes, 502",
         "quote, closes-midway, 200", "post-charge, closes-midway, 502",
         "quote, error, 200", "post-charge, error, 502",
-        "quote, unsure, 200", "post-charge, unsure, 502"})
+        "quote, unsure, 200", "post-charge, unsure, 502"
+    })
     void repeatsOnlyWhatMayBeRepeated(String profile, String fault, int status) throws Exception {
         Stub good = endpoint(r -> answer(200, "", "good"));
         Stub bad = endpoint(r -> switch (fault) {
@@ -137,26 +143,35 @@
             }
         }
         assertEquals(status, statusAtBad);
-        assertEquals(bad.seen.size(), bad.seen.stream().map(s -> header(s, "X-Trace-Id")).distinct().count());
+        assertEquals(
+                bad.seen.size(),
+                bad.seen.stream().map(s -> header(s, "X-Trace-Id")).distinct().count());
     }
 
     /** A spoilt answer may have run and costs its connection, at once; the next transaction gets its own answer. */
     @ParameterizedTest
-    @CsvSource(value = {
-        "noise without an end|spoilt", "'\\r\\n'|spoilt", "HTTP/2.0 200 OK\\r\\n\\r\\n|spoilt",
-        "HTTP/1.1 200 OK\\r\\nContent-Le|unfinished", "'HTTP/1.1 2xx\\r\\n\\r\\n'|spoilt",
-        "HTTP/1.1 200 OK\\r\\nno colon here\\r\\nContent-Length: 4\\r\\n\\r\\nbody|spoilt",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 9\\r\\n\\r\\nmore|unfinished",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: -4\\r\\n\\r\\nless|spoilt",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 4, 5\\r\\n\\r\\nboth|spoilt",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 4\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n0\\r\\n\\r\\n|spoilt",
-        "HTTP/1.1 200 OK\\r\\n\\r\\nwhere does it end|spoilt",
-        "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\n|spoilt",
-        "HTTP/1.1 200 OK\\r\\nContent-Length: 3000000000\\r\\n\\r\\nmuch|oversized"}, delimiter = '|')
+    @CsvSource(
+            value = {
+                "noise without an end|spoilt",
+                "'\\r\\n'|spoilt",
+                "HTTP/2.0 200 OK\\r\\n\\r\\n|spoilt",
+                "HTTP/1.1 200 OK\\r\\nContent-Le|unfinished",
+                "'HTTP/1.1 2xx\\r\\n\\r\\n'|spoilt",
+                "HTTP/1.1 200 OK\\r\\nno colon here\\r\\nContent-Length: 4\\r\\n\\r\\nbody|spoilt",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 9\\r\\n\\r\\nmore|unfinished",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: -4\\r\\n\\r\\nless|spoilt",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 4, 5\\r\\n\\r\\nboth|spoilt",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 4\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n0\\r\\n\\r\\n|spoilt",
+                "HTTP/1.1 200 OK\\r\\n\\r\\nwhere does it end|spoilt",
+                "HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\n|spoilt",
+                "HTTP/1.1 200 OK\\r\\nContent-Length: 3000000000\\r\\n\\r\\nmuch|oversized"
+            },
+            delimiter = '|')
     void aSpoiltAnswerIsAnAttemptThatMayHaveRun(String answer, String code) throws Exception {
         AtomicInteger asked = new AtomicInteger();
         Function<String, String> oddOnesSpoilt = r -> asked.getAndIncrement() % 2 == 0
-                ? answer.replace("\\r", "\r").replace("\\n", "\n") : answer(200, "", header(r, "X-Trace-Id"));
+                ? answer.replace("\\r", "\r").replace("\\n", "\n")
+                : answer(200, "", header(r, "X-Trace-Id"));
         Stub first = endpoint(oddOnesSpoilt);
         Stub second = endpoint(oddOnesSpoilt);
         serve();
@@ -207,7 +222,8 @@
         JsonObject ended = counters().getJsonObject("connections_ended");
         boolean blamed = Stream.of("excess", "spoilt", "unfinished", "endpoint-closed", "broken")
                 .anyMatch(code -> ended.containsKey("pooled:" + code));
-        assertTrue(kept ? endpoint.connections < 200 && !blamed : endpoint.connections >= 200,
+        assertTrue(
+                kept ? endpoint.connections < 200 && !blamed : endpoint.connections >= 200,
                 () -> endpoint.connections + " connections, " + ended.encode());
     }
 
@@ -257,32 +273,49 @@
             {"404", "GET /nothing HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n\r\n"},
             {"404", "GET / HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n\r\n"},
             {"404", "GET /quote HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nX-Qos: other\r\n\r\n"},
-            {"413", "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nContent-Length: 65537\r\n\r\n"
-                    + "x".repeat(65_537)},
-            {"413", "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nContent-Length: 9000000\r\n\r\n"
-                    + "x".repeat(9_000_000)},
+            {
+                "413",
+                "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nContent-Length: 65537\r\n\r\n"
+                        + "x".repeat(65_537)
+            },
+            {
+                "413",
+                "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nContent-Length: 9000000\r\n\r\n"
+                        + "x".repeat(9_000_000)
+            },
             {"400", "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nContent-Length: -1\r\n\r\n"},
         };
         for (String[] each : cases) {
             String got = client().ask(each[1]);
-            assertEquals(each[0], got.length() < 12 ? got : got.substring(9, 12),
+            assertEquals(
+                    each[0],
+                    got.length() < 12 ? got : got.substring(9, 12),
                     each[1].substring(0, Math.min(80, each[1].length())));
         }
         assertEquals(List.of(), endpoint.seen);
         assertTrue(client().ask(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
         JsonObject rejected = counters().getJsonObject("rejected");
-        assertEquals(cases.length, rejected.stream().mapToLong(e -> ((Number) e.getValue()).longValue()).sum(),
+        assertEquals(
+                cases.length,
+                rejected.stream()
+                        .mapToLong(e -> ((Number) e.getValue()).longValue())
+                        .sum(),
                 rejected::encode);
     }
 
     /** Whatever a client leaves unfinished is ended in 3 s; what it has finished is answered however late. */
     @ParameterizedTest
-    @CsvSource(value = {
-        "''|''", "GET /quote HTTP/1.1\\r\\nHost: h\\r\\nX-Trace-Id|''", "'\\r\\n\\r\\n\\r\\n'|''",
-        "POST /post-charge HTTP/1.1\\r\\nHost: h\\r\\nX-Trace-Id: u\\r\\nContent-Length: 9\\r\\n\\r\\nhalf|408",
-        "POST /post-charge HTTP/1.1\\r\\nHost: h\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n4\\r\\nhalf|408",
-        "POST /post-charge HTTP/1.1\\r\\nHost: h\\r\\nX-Trace-Id: u\\r\\nContent-Length: 60000000\\r\\n\\r\\nx|413",
-        "AGAIN|''"}, delimiter = '|')
+    @CsvSource(
+            value = {
+                "''|''",
+                "GET /quote HTTP/1.1\\r\\nHost: h\\r\\nX-Trace-Id|''",
+                "'\\r\\n\\r\\n\\r\\n'|''",
+                "POST /post-charge HTTP/1.1\\r\\nHost: h\\r\\nX-Trace-Id: u\\r\\nContent-Length: 9\\r\\n\\r\\nhalf|408",
+                "POST /post-charge HTTP/1.1\\r\\nHost: h\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n4\\r\\nhalf|408",
+                "POST /post-charge HTTP/1.1\\r\\nHost: h\\r\\nX-Trace-Id: u\\r\\nContent-Length: 60000000\\r\\n\\r\\nx|413",
+                "AGAIN|''"
+            },
+            delimiter = '|')
     void aClientThatFinishesNothingIsEndedInTime(String sent, String status) throws Exception {
         Stub endpoint = endpoint(r -> {
             pause(r.contains("/post-charge") ? 2_100 : 0);
@@ -315,12 +348,13 @@
         Stub endpoint = endpoint(r -> answer(200, "", "good"));
         serve();
         String inner = transaction("post-charge", "inner", 500);
-        for (String lengths : List.of("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
+        for (String lengths : List.of(
+                "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
                 "Transfer-Encoding: chunked\r\nContent-Length: " + (5 + inner.length()) + "\r\n",
                 "Content-Length: 3\r\nTransfer-Encoding: xchunked\r\n")) {
             Client client = client();
-            String got = client.ask("POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n" + lengths
-                    + "\r\n0\r\n\r\n" + inner);
+            String got = client.ask(
+                    "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n" + lengths + "\r\n0\r\n\r\n" + inner);
             assertTrue(got.startsWith("HTTP/1.1 400 "), got);
             assertEquals("", client.read());
         }
@@ -354,7 +388,11 @@
     @Test
     void silentConnectionsDoNotHoldTheLastDescriptors() throws Exception {
         sockets = 64;
-        settings().getJsonArray("profiles").getJsonObject(0).put("hard_limit", 40_000).put("service_goal", 40_000);
+        settings()
+                .getJsonArray("profiles")
+                .getJsonObject(0)
+                .put("hard_limit", 40_000)
+                .put("service_goal", 40_000);
         Stub endpoint = endpoint(r -> HANG);
         serve();
         int room = Descriptors.forClients(sockets).most();
@@ -486,8 +524,11 @@
                 }
             }
             Stub good = endpoint(r -> answer(200, "", "good"));
-            known = new JsonArray().add(entry(0, "active")).add(entry(0, "active").put("name", "s-silent")
-                    .put("address", "127.0.0.1:" + silent.getLocalPort()));
+            known = new JsonArray()
+                    .add(entry(0, "active"))
+                    .add(entry(0, "active")
+                            .put("name", "s-silent")
+                            .put("address", "127.0.0.1:" + silent.getLocalPort()));
             serve();
             Client client = client();
             long slowest = 0;
@@ -543,8 +584,10 @@
         for (int i = 0; i < 60; i++) {
             Client each = client();
             clients.add(each);
-            String got = each.ask(asked.equals("quote") ? transaction("quote", "t" + i, 500)
-                    : "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
+            String got = each.ask(
+                    asked.equals("quote")
+                            ? transaction("quote", "t" + i, 500)
+                            : "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
             assertTrue(got.startsWith("HTTP/1.1 200 "), got);
             assertEquals(i >= 19, got.toLowerCase().contains("connection: close"), i + ": " + got);
         }
@@ -594,8 +637,9 @@
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             clients.add(client());
-            clients.get(i).write("POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + i
-                    + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+            clients.get(i)
+                    .write("POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + i + "\r\nContent-Length: "
+                            + body.length() + "\r\n\r\n" + body);
         }
         int committed = 0;
         for (Client each : clients) {
@@ -604,7 +648,10 @@
         }
         assertTrue(committed > 200, committed + " committed");
         String peak = Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
-                .filter(l -> l.startsWith("VmHWM")).findFirst().orElseThrow().replaceAll("[^0-9]", "");
+                .filter(l -> l.startsWith("VmHWM"))
+                .findFirst()
+                .orElseThrow()
+                .replaceAll("[^0-9]", "");
         assertTrue(Integer.parseInt(peak) < 192 << 10, peak + " kB");
     }
 
@@ -681,8 +728,12 @@
             discovery.line("{\"index\":");
         }
         within(7_000, () -> discovery.seen.size() == 2);
-        assertTrue(discovery.seen.get(1).startsWith("GET /catalog/members?stream=1&index="
-                + (fault.equals("refused") ? 7 : 12) + " "), discovery.seen.get(1));
+        assertTrue(
+                discovery
+                        .seen
+                        .get(1)
+                        .startsWith("GET /catalog/members?stream=1&index=" + (fault.equals("refused") ? 7 : 12) + " "),
+                discovery.seen.get(1));
         assertTrue(client().ask(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
     }
 
@@ -691,8 +742,13 @@
     void aLoopThatRanLateFollowsTheListFirstAndAnswersEarlier() throws Exception {
         Stub first = endpoint(r -> answer(200, "", "good"));
         Stub second = endpoint(r -> answer(200, "", "good"));
-        settings().put("profiles", new JsonArray(settings().getJsonArray("profiles").encode()
-                .replace("\"hard_limit\":1500", "\"hard_limit\":3000")));
+        settings()
+                .put(
+                        "profiles",
+                        new JsonArray(settings()
+                                .getJsonArray("profiles")
+                                .encode()
+                                .replace("\"hard_limit\":1500", "\"hard_limit\":3000")));
         serve();
         eventually(() -> discovery.seen.size() == 1);
         List<Client> clients = new ArrayList<>();
@@ -794,8 +850,13 @@
     @Test
     void onSigtermWhatWouldOutliveItIsAnsweredBeforeItsEnd() throws Exception {
         Stub mute = endpoint(r -> HANG);
-        settings().put("profiles", new JsonArray(settings().getJsonArray("profiles").encode()
-                .replaceAll("\"hard_limit\":(1500|3000)", "\"hard_limit\":9000")));
+        settings()
+                .put(
+                        "profiles",
+                        new JsonArray(settings()
+                                .getJsonArray("profiles")
+                                .encode()
+                                .replaceAll("\"hard_limit\":(1500|3000)", "\"hard_limit\":9000")));
         serve();
         Client[] clients = {client(), client()};
         clients[0].write(transaction("post-charge", "t0", 9_000));
@@ -838,7 +899,8 @@
         eventually(() -> discovery.seen.size() == 1);
         Path file = dir.resolve("config.json");
         JsonObject told = new JsonObject(Files.readString(file));
-        for (String bad : List.of("{\"name\":", told.copy().put("discovery", "nowhere").encode())) {
+        for (String bad :
+                List.of("{\"name\":", told.copy().put("discovery", "nowhere").encode())) {
             Files.writeString(file, bad);
             signal("HUP");
             eventually(() -> log().contains(bad.endsWith(":") ? "code=unreadable" : "discovery: must be host:port"));
@@ -846,7 +908,9 @@
         assertEquals(0, discovery.ended.size());
         Client client = client();
         client.write(transaction("post-charge", "t", 2_000));
-        told.put("discovery", "127.0.0.1:" + elsewhere.port()).getJsonObject("limits").put("sockets", 512);
+        told.put("discovery", "127.0.0.1:" + elsewhere.port())
+                .getJsonObject("limits")
+                .put("sockets", 512);
         Files.writeString(file, told.encode());
         for (int i = 0; i < 3; i++) {
             signal("HUP");
@@ -895,14 +959,18 @@
         Path file = dir.resolve("config.json");
         String before = Files.readString(file);
         JsonObject moved = new JsonObject(before);
-        JsonObject settings = moved.getJsonObject("settings").put("azs", new JsonArray().add("c").add("b").add("a"))
-                .put("zone", 1).put("n_instances", 300).put("my_number", 299).put("weights", "live")
+        JsonObject settings = moved.getJsonObject("settings")
+                .put("azs", new JsonArray().add("c").add("b").add("a"))
+                .put("zone", 1)
+                .put("n_instances", 300)
+                .put("my_number", 299)
+                .put("weights", "live")
                 .put("fees", new JsonObject().put("cross_zone", 0.12).put("connection", 0.03))
                 .put("goal", new JsonObject().put("whole", 0.4).put("worst_class", 0.4))
                 .put("family_info", new JsonObject().put("warm_keys", true));
         settings.getJsonObject("ceilings").put("retry_after", false);
-        settings.getJsonArray("profiles").add(settings.getJsonArray("profiles").getJsonObject(0).copy()
-                .put("name", "cert"));
+        settings.getJsonArray("profiles")
+                .add(settings.getJsonArray("profiles").getJsonObject(0).copy().put("name", "cert"));
         Client slow = client();
         for (int round = 0; round < 4; round++) {
             boolean there = round % 2 == 0;
@@ -947,7 +1015,8 @@
             int[] seen = endpoints.stream().mapToInt(e -> e.seen.size()).toArray();
             Client client = client();
             for (int n = 0; n < 20; n++) {
-                assertTrue(client.ask(transaction("quote", "z" + round + "-" + n, 900)).startsWith("HTTP/1.1 200 "));
+                assertTrue(client.ask(transaction("quote", "z" + round + "-" + n, 900))
+                        .startsWith("HTTP/1.1 200 "));
             }
             int away = endpoints.get(0).seen.size() - seen[0];
             assertTrue(there ? away == 0 : away > 0, "in round " + round + " " + away + " went to the other zone");
@@ -955,8 +1024,11 @@
         // Another SIGHUP with nothing new starts nothing anew.
         signal("HUP");
         eventually(() -> log().split("reload code=read ", -1).length == 6);
-        List<String> once = endpoints.stream().flatMap(e -> e.seen.stream()).filter(r -> r.startsWith("POST"))
-                .map(r -> header(r, "X-Trace-Id")).toList();
+        List<String> once = endpoints.stream()
+                .flatMap(e -> e.seen.stream())
+                .filter(r -> r.startsWith("POST"))
+                .map(r -> header(r, "X-Trace-Id"))
+                .toList();
         assertEquals(once.size(), once.stream().distinct().count(), "sent twice");
         assertTrue(once.size() > 400, "only " + once.size());
         assertEquals(5, log().split("code=adopted", -1).length);
@@ -996,7 +1068,8 @@
     @ParameterizedTest
     @CsvSource({
         "listen, 'nowhere', listen", "discovery, '127.0.0.1:0', discovery", "seed, 'xyz', seed", "name, '', name",
-        "settings, , settings", "limits, , limits", "known, , known", "known, '{}', known"})
+        "settings, , settings", "limits, , limits", "known, , known", "known, '{}', known"
+    })
     void aBadConfigurationEndsTheProgramNamingTheKey(String key, String value, String named) throws Exception {
         endpoint(r -> HANG);
         JsonObject file = configuration();
@@ -1010,9 +1083,20 @@
 
     @ParameterizedTest
     @CsvSource({
-        "profiles.0.effect, sometimes", "profiles.0.hard_limit, -1", "profiles, ", "safety.cold_from, x",
-        "ceilings.keepalive, never", "n_instances, many", "profiles.1.name, ", "my_number, 3", "zone, 2",
-        "weights, heavy", "fees.cross_zone, -1", "fees.connection, x", "goal.worst_class, x"})
+        "profiles.0.effect, sometimes",
+        "profiles.0.hard_limit, -1",
+        "profiles, ",
+        "safety.cold_from, x",
+        "ceilings.keepalive, never",
+        "n_instances, many",
+        "profiles.1.name, ",
+        "my_number, 3",
+        "zone, 2",
+        "weights, heavy",
+        "fees.cross_zone, -1",
+        "fees.connection, x",
+        "goal.worst_class, x"
+    })
     void badTermsEndTheProgramNamingTheKey(String path, String value) throws Exception {
         endpoint(r -> HANG);
         JsonObject file = configuration();
@@ -1023,7 +1107,8 @@
                 at.put(steps[i], new JsonObject());
             }
             at = at.getValue(steps[i]) instanceof JsonArray array
-                    ? array.getJsonObject(Integer.parseInt(steps[++i])) : at.getJsonObject(steps[i]);
+                    ? array.getJsonObject(Integer.parseInt(steps[++i]))
+                    : at.getJsonObject(steps[i]);
         }
         at.put(steps[steps.length - 1], value == null ? new JsonArray() : value);
         refused(file.encode(), path);
--- a/sidecar/src/test/java/trestlegrade/sidecar/SettingsIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/SettingsIT.java
@@ -26,8 +26,11 @@
         JsonArray profiles = new JsonArray();
         for (String name : names) {
             // Told apart by their limits, each of which is over twice the one before.
-            profiles.add(new JsonObject().put("name", name).put("effect", names.indexOf(name) % 2 == 0 ? "once"
-                    : "repeatable").put("service_goal", 500).put("hard_limit", 1_000 * Math.pow(3, names.indexOf(name)))
+            profiles.add(new JsonObject()
+                    .put("name", name)
+                    .put("effect", names.indexOf(name) % 2 == 0 ? "once" : "repeatable")
+                    .put("service_goal", 500)
+                    .put("hard_limit", 1_000 * Math.pow(3, names.indexOf(name)))
                     .put("revenue", 1));
         }
         settings().put("profiles", profiles);
@@ -59,11 +62,20 @@
         Stub silent = endpoint(r -> HANG);
         settings().remove("azs");
         settings().remove("n_instances");
-        settings().getJsonObject("ceilings").put("cancelling", false).put("retry_after", false).put("max_hops", 1)
+        settings()
+                .getJsonObject("ceilings")
+                .put("cancelling", false)
+                .put("retry_after", false)
+                .put("max_hops", 1)
                 .put("keepalive", 1_000);
-        settings().put("profiles", new JsonArray(settings().getJsonArray("profiles").encode()
-                .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":" + limit)
-                .replaceAll("\"service_goal\":\\d+", "\"service_goal\":" + limit / 2)));
+        settings()
+                .put(
+                        "profiles",
+                        new JsonArray(settings()
+                                .getJsonArray("profiles")
+                                .encode()
+                                .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":" + limit)
+                                .replaceAll("\"service_goal\":\\d+", "\"service_goal\":" + limit / 2)));
         known = new JsonArray().add(entry(0, "active").put("zone", ""));
         serve();
         int wait = Math.min(limit, 2_000);
--- a/sidecar/src/test/java/trestlegrade/sidecar/SizesIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/SizesIT.java
@@ -57,9 +57,16 @@
         }
 
         JsonObject entry(int i, String status) throws IOException {
-            return new JsonObject().put("name", "s-" + i)
-                    .put("address", listeners.get(i).getLocalAddress().toString().substring(1)).put("zone", "zone-" + i)
-                    .put("type", "type-" + i).put("group", i).put("status", status).put("weight", 1.0)
+            return new JsonObject()
+                    .put("name", "s-" + i)
+                    .put(
+                            "address",
+                            listeners.get(i).getLocalAddress().toString().substring(1))
+                    .put("zone", "zone-" + i)
+                    .put("type", "type-" + i)
+                    .put("group", i)
+                    .put("status", status)
+                    .put("weight", 1.0)
                     .put("since_ms", 0);
         }
 
@@ -164,8 +171,11 @@
 
     private long peakMegabytes() throws IOException {
         return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
-                .filter(line -> line.startsWith("VmHWM:")).mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
-                .findFirst().orElseThrow() >> 10;
+                        .filter(line -> line.startsWith("VmHWM:"))
+                        .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
+                        .findFirst()
+                        .orElseThrow()
+                >> 10;
     }
 
     /** Every one is used, what the list says of half of them holds, and all of it fits into the memory. */
--- a/sidecar/src/test/java/trestlegrade/sidecar/StaleListIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/StaleListIT.java
@@ -24,15 +24,18 @@
 class StaleListIT extends Loopback {
     /** A change counts as told so long after discovery had it, whatever failed. */
     private static final long TOLD_MS = 6_000;
+
     private static final long GRACE_MS = 1_000;
     private static final long TURN_MS = 2_000;
 
     /** When the endpoints were reached, in milliseconds. */
     private final List<Long> reached = new CopyOnWriteArrayList<>();
+
     private final List<Long> refusedAfter = new CopyOnWriteArrayList<>();
     private volatile boolean sending = true;
     /** Whether an endpoint drains: it turns away whatever is new. */
     private volatile boolean firstDrains;
+
     private volatile boolean secondDrains;
     private final Stub first = endpoint(r -> reach(firstDrains));
     private final Stub second = endpoint(r -> reach(secondDrains));
@@ -94,10 +97,19 @@
         refusedAfter.clear();
         pause(2_000);
         assertEquals(until, reached.size(), "sent on past the grace");
-        assertTrue(until > 0 && reached.get(until - 1) <= latest, "last sent " + (reached.get(until - 1) - latest) + " ms late");
+        assertTrue(
+                until > 0 && reached.get(until - 1) <= latest,
+                "last sent " + (reached.get(until - 1) - latest) + " ms late");
         assertTrue(refusedAfter.size() > 10, refusedAfter.size() + " refused");
-        assertTrue(refusedAfter.stream().mapToLong(each -> each).sorted().skip(refusedAfter.size() / 2).findFirst()
-                .orElseThrow() < 200, "refused after " + refusedAfter);
+        assertTrue(
+                refusedAfter.stream()
+                                .mapToLong(each -> each)
+                                .sorted()
+                                .skip(refusedAfter.size() / 2)
+                                .findFirst()
+                                .orElseThrow()
+                        < 200,
+                "refused after " + refusedAfter);
     }
 
     /** It serves again once discovery does, and not by the server that drained meanwhile. */
@@ -188,8 +200,11 @@
         pause(200);
         drain();
         Path file = dir.resolve("config.json");
-        Files.writeString(file, new JsonObject(Files.readString(file)).put("discovery", "127.0.0.1:" + elsewhere.port())
-                .encode());
+        Files.writeString(
+                file,
+                new JsonObject(Files.readString(file))
+                        .put("discovery", "127.0.0.1:" + elsewhere.port())
+                        .encode());
         signal("HUP");
         stopsBy(millis() + 4_000 + GRACE_MS);
         servesAgain(elsewhere);
--- a/sidecar/src/test/java/trestlegrade/sidecar/StartsIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/StartsIT.java
@@ -41,7 +41,10 @@
             });
             for (int i = 0; i < PROCESSES; i++) {
                 try (Client client = new Client(ports.get(i))) {
-                    assertEquals("200", client.ask(transaction("post-charge", "t" + i, 3_000)).substring(9, 12));
+                    assertEquals(
+                            "200",
+                            client.ask(transaction("post-charge", "t" + i, 3_000))
+                                    .substring(9, 12));
                 }
             }
         } finally {
--- a/sidecar/src/test/java/trestlegrade/sidecar/Stopwatch.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/Stopwatch.java
@@ -10,6 +10,7 @@
 final class Stopwatch {
     /** Later than this by the scheduler alone is usual nowhere. */
     private static final long USUAL = 10_000_000;
+
     private static final AtomicLong STOOD_STILL = new AtomicLong();
 
     static {
--- a/sidecar/src/test/java/trestlegrade/sidecar/SystemCallsIT.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/SystemCallsIT.java
@@ -71,7 +71,8 @@
         }
         assertTrue(shim.get(done) > 0);
         shim.set(rate, 0);
-        eventually(() -> client.tries(transaction("quote", "u" + System.nanoTime(), 1_400)).startsWith("HTTP/1.1 200 "));
+        eventually(() -> client.tries(transaction("quote", "u" + System.nanoTime(), 1_400))
+                .startsWith("HTTP/1.1 200 "));
         assertEquals(1, counters().getJsonObject("now").getLong("pooled"));
     }
 
@@ -94,9 +95,13 @@
         Client client = client();
         for (int i = 0; i < 10; i++) {
             String got = client.ask(transaction(i % 2 == 0 ? "quote" : "post-charge", "t" + i, 1_400));
-            assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("good"), got + counters().encode());
+            assertTrue(
+                    got.startsWith("HTTP/1.1 200 ") && got.endsWith("good"),
+                    got + counters().encode());
         }
-        assertEquals(10, endpoint.seen.stream().filter(r -> r.contains("X-Trace-Id: t")).count());
+        assertEquals(
+                10,
+                endpoint.seen.stream().filter(r -> r.contains("X-Trace-Id: t")).count());
         assertTrue(shim.get(Field.INTERRUPT_DONE) > 100 && shim.get(Field.SHORT_DONE) > 1_000);
     }
 
@@ -118,9 +123,14 @@
         gate.open();
         String got = client.read();
         assertTrue(got.startsWith("HTTP/1.1 502 "), got);
-        assertEquals(1, endpoint.seen.stream().filter(r -> "t".equals(header(r, "X-Trace-Id"))).count());
+        assertEquals(
+                1,
+                endpoint.seen.stream()
+                        .filter(r -> "t".equals(header(r, "X-Trace-Id")))
+                        .count());
         Client next = client();
-        eventually(() -> next.tries(transaction("quote", "u" + System.nanoTime(), 1_400)).startsWith("HTTP/1.1 200 "));
+        eventually(() ->
+                next.tries(transaction("quote", "u" + System.nanoTime(), 1_400)).startsWith("HTTP/1.1 200 "));
         eventually(() -> counters().getJsonObject("now").getLong("transactions") == 0);
     }
 
@@ -161,7 +171,8 @@
         assertTrue(client.read().startsWith("HTTP/1.1 503 "));
         assertTrue(watch.milliseconds() > 500 && watch.milliseconds() < 1_450, "after " + watch.milliseconds() + " ms");
         endpoint.answers = r -> answer(200, "", "good");
-        eventually(() -> client.tries(transaction("quote", "u" + System.nanoTime(), 1_400)).startsWith("HTTP/1.1 200 "));
+        eventually(() -> client.tries(transaction("quote", "u" + System.nanoTime(), 1_400))
+                .startsWith("HTTP/1.1 200 "));
         eventually(() -> !discovery.seen.isEmpty());
         discovery.line(list(8, false, entry(0, "leaving")));
         eventually(() -> counters().getLong("list_lines") == 1);
@@ -169,7 +180,8 @@
         assertTrue(client.ask(transaction("quote", "v", 300)).startsWith("HTTP/1.1 503 "));
         assertEquals(before, endpoint.seen.size());
         discovery.line(list(9, false, entry(0, "active")));
-        eventually(() -> client.tries(transaction("quote", "w" + System.nanoTime(), 1_400)).startsWith("HTTP/1.1 200 "));
+        eventually(() -> client.tries(transaction("quote", "w" + System.nanoTime(), 1_400))
+                .startsWith("HTTP/1.1 200 "));
         assertEquals(1, discovery.seen.size(), "the watch was opened anew");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/sidecar/TimerRoundingIoHandlerTest.java
+++ b/sidecar/src/test/java/trestlegrade/sidecar/TimerRoundingIoHandlerTest.java
@@ -15,8 +15,17 @@
 
     /** Nanoseconds until the next timer, and what the selector is told. */
     @ParameterizedTest
-    @CsvSource({"0, 0", "-5, -5", "1, 1000000", "499999, 1000000", "1000000, 1000000", "1000001, 2000000",
-        "9400000, 10000000", "9223372036854775807, 9223372036854775807", "9223372036854775000, 9223372036854775000"})
+    @CsvSource({
+        "0, 0",
+        "-5, -5",
+        "1, 1000000",
+        "499999, 1000000",
+        "1000000, 1000000",
+        "1000001, 2000000",
+        "9400000, 10000000",
+        "9223372036854775807, 9223372036854775807",
+        "9223372036854775000, 9223372036854775000"
+    })
     void roundsUpToWholeMilliseconds(long delay, long told) {
         assertEquals(told, TimerRoundingIoHandler.wholeMilliseconds(delay));
     }
@@ -28,12 +37,13 @@
     @Test
     void sleepsUntilATimerIsDue() throws Exception {
         Counters.Turns turns = new Counters.Turns();
-        EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, TimerRoundingIoHandler.over(NioIoHandler.newFactory(), turns));
+        EventLoopGroup loop =
+                new MultiThreadIoEventLoopGroup(1, TimerRoundingIoHandler.over(NioIoHandler.newFactory(), turns));
         try {
-            loop.submit(() -> { }).get();
+            loop.submit(() -> {}).get();
             long before = turns.all();
             for (int i = 0; i < 50; i++) {
-                loop.schedule(() -> { }, 2_450_000, TimeUnit.NANOSECONDS).get();
+                loop.schedule(() -> {}, 2_450_000, TimeUnit.NANOSECONDS).get();
             }
             long took = turns.all() - before;
             assertTrue(took <= 50 * 4, took + " turns for 50 timers");
--- a/tools/Cost.java
+++ b/tools/Cost.java
@@ -121,9 +121,16 @@
                   "safety":{"ask_within":10000,"cold":9000,"cold_from":0.3,"fall":2000,"fall_multiple":3}}}
                 """.formatted(port, discovery));
         // As deploy/balancer.toml starts it.
-        ProcessBuilder start = new ProcessBuilder("java", "-XX:SharedArchiveFile=sidecar/target/trestlegrade.jsa",
-                "@deploy/jvm.options", "-jar", "sidecar/target/trestlegrade.jar", "serve").directory(folder.toFile())
-                .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD);
+        ProcessBuilder start = new ProcessBuilder(
+                        "java",
+                        "-XX:SharedArchiveFile=sidecar/target/trestlegrade.jsa",
+                        "@deploy/jvm.options",
+                        "-jar",
+                        "sidecar/target/trestlegrade.jar",
+                        "serve")
+                .directory(folder.toFile())
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD);
         start.environment().put("LB_CONFIG", file.toString());
         sidecar = start.start();
         notCommitted.set(0);
@@ -165,7 +172,10 @@
 
     private String status(String field) throws IOException {
         return Files.readAllLines(Path.of("/proc/" + sidecar.pid() + "/status")).stream()
-                .filter(line -> line.startsWith(field + ":")).findFirst().orElse("?").replaceAll("[^0-9]", "");
+                .filter(line -> line.startsWith(field + ":"))
+                .findFirst()
+                .orElse("?")
+                .replaceAll("[^0-9]", "");
     }
 
     // -------------------------------------------------- clients
@@ -190,7 +200,8 @@
     private void transaction(boolean keep) {
         int id = IDS.incrementAndGet();
         String head = (id % 3 == 0 ? "POST /write" : "GET /read") + "?k=" + id % 50
-                + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: c" + id + "\r\nX-Customer: acme\r\nX-Expires-In: 900m\r\nX-Size-Hint: 20000\r\n"
+                + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: c" + id
+                + "\r\nX-Customer: acme\r\nX-Expires-In: 900m\r\nX-Size-Hint: 20000\r\n"
                 + (id % 3 == 0 ? "Content-Length: 9\r\n\r\ntwo seats" : "\r\n");
         try {
             Socket socket = keep ? kept.pollLast() : null;
@@ -213,8 +224,12 @@
     }
 
     private void badClient() {
-        String[] kinds = {"BROKEN\r\n\r\n", "GET /read HTTP/1.1\r\nno colon\r\n\r\n",
-            "POST /write HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", "GET /read HTT"};
+        String[] kinds = {
+            "BROKEN\r\n\r\n",
+            "GET /read HTTP/1.1\r\nno colon\r\n\r\n",
+            "POST /write HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n",
+            "GET /read HTT"
+        };
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(50);
             ask(socket, kinds[IDS.incrementAndGet() % kinds.length]);
@@ -237,7 +252,8 @@
         }
         int at = head.toString().toLowerCase(Locale.ROOT).indexOf("content-length:");
         if (at >= 0) {
-            in.readNBytes(Integer.parseInt(head.substring(at + 15, head.indexOf("\r\n", at)).strip()));
+            in.readNBytes(Integer.parseInt(
+                    head.substring(at + 15, head.indexOf("\r\n", at)).strip()));
         }
         return head.toString();
     }
@@ -285,15 +301,20 @@
         row("a new connection of a client, with its transaction", each(200, 20, () -> transaction(false)), "ms");
         row("a bad client", each(200, 20, this::badClient), "ms");
         AtomicInteger index = new AtomicInteger(1);
-        row("a line of the list, one entry", each(200, 20, () -> {
-            int n = index.incrementAndGet();
-            try {
-                say(watch, "{\"index\":" + n + ",\"snapshot\":false,\"endpoints\":["
-                        + entry(n % ENDPOINTS, 1 + n % 7 / 100.0) + "]}\n");
-            } catch (IOException e) {
-                throw new IllegalStateException("the watch has ended", e);
-            }
-        }), "ms");
+        row(
+                "a line of the list, one entry",
+                each(200, 20, () -> {
+                    int n = index.incrementAndGet();
+                    try {
+                        say(
+                                watch,
+                                "{\"index\":" + n + ",\"snapshot\":false,\"endpoints\":["
+                                        + entry(n % ENDPOINTS, 1 + n % 7 / 100.0) + "]}\n");
+                    } catch (IOException e) {
+                        throw new IllegalStateException("the watch has ended", e);
+                    }
+                }),
+                "ms");
         row("resident memory at the end", Double.parseDouble(status("VmRSS")) / 1024, "MB");
         ended("at 100 a second");
     }
--- a/tools/KnownRed.java
+++ b/tools/KnownRed.java
@@ -57,7 +57,9 @@
     }
 
     private static List<Known> read(Path list) throws IOException {
-        List<String> lines = Files.readAllLines(list).stream().filter(line -> !line.isBlank()).toList();
+        List<String> lines = Files.readAllLines(list).stream()
+                .filter(line -> !line.isBlank())
+                .toList();
         if (lines.size() > MOST_LINES) {
             throw new IllegalArgumentException(lines.size() + " lines in " + list + ", " + MOST_LINES + " at most");
         }
@@ -67,9 +69,12 @@
     private static List<Result> results(List<String> folders) throws Exception {
         List<Result> results = new ArrayList<>();
         for (String folder : folders) {
-            File[] reports = new File(folder).listFiles((in, name) -> name.startsWith("TEST-") && name.endsWith(".xml"));
+            File[] reports =
+                    new File(folder).listFiles((in, name) -> name.startsWith("TEST-") && name.endsWith(".xml"));
             for (File report : reports == null ? new File[0] : reports) {
-                NodeList testcases = DocumentBuilderFactory.newInstance().newDocumentBuilder().parse(report)
+                NodeList testcases = DocumentBuilderFactory.newInstance()
+                        .newDocumentBuilder()
+                        .parse(report)
                         .getElementsByTagName("testcase");
                 for (int i = 0; i < testcases.getLength(); i++) {
                     results.add(Result.of((Element) testcases.item(i)));
