--- a/sidecar/src/main/java/trestlegrade/Main.java
+++ b/sidecar/src/main/java/trestlegrade/Main.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
-import trestlegrade.benchlink.Link;
-import trestlegrade.benchlink.MalformedFrame;
-import trestlegrade.sidecar.Sidecar;
+import trestlegrade.runtime.Sidecar;
+import trestlegrade.simulator.MalformedFrameException;
+import trestlegrade.simulator.SimulatorAdapter;
 
 /** The command line. */
 @Command(
@@ -35,12 +35,12 @@
             description = "Makes the decisions for the sidecars of a bench, on standard input and output.")
     int benchlink() {
         try {
-            new Link(
+            new SimulatorAdapter(
                             new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                             new FileOutputStream(FileDescriptor.out))
                     .run();
             return CommandLine.ExitCode.OK;
-        } catch (MalformedFrame e) {
+        } catch (MalformedFrameException e) {
             System.err.println("benchlink: malformed input: " + e.getMessage());
         } catch (IOException e) {
             System.err.println("benchlink: input or output failed: " + e.getMessage());
@@ -52,7 +52,7 @@
             name = "serve",
             mixinStandardHelpOptions = true,
             description = "Serves as one sidecar, as the file that LB_CONFIG names says, until SIGTERM.")
-    int serve() {
+    public int serve() {
         return Sidecar.serve(System.getenv()) ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
     }
 
@@ -60,7 +60,7 @@
             name = "rehearse",
             mixinStandardHelpOptions = true,
             description = "Starts a sidecar on a free port of loopback until it is ready: does it work here?")
-    int rehearse() {
+    public int rehearse() {
         return Sidecar.rehearse() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
     }
 
--- a/sidecar/src/main/java/trestlegrade/TermsReader.java
+++ b/sidecar/src/main/java/trestlegrade/config/PolicySettingsReader.java
@@ -1,25 +1,26 @@
-package trestlegrade;
+package trestlegrade.config;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import trestlegrade.Terms.Customer;
-import trestlegrade.Terms.Group;
-import trestlegrade.Terms.Profile;
-import trestlegrade.Terms.Repeat;
-import trestlegrade.Terms.Weights;
+import trestlegrade.policy.settings.PolicySettings;
+import trestlegrade.policy.settings.PolicySettings.Customer;
+import trestlegrade.policy.settings.PolicySettings.Group;
+import trestlegrade.policy.settings.PolicySettings.Profile;
+import trestlegrade.policy.settings.PolicySettings.Repeat;
+import trestlegrade.policy.settings.PolicySettings.Weights;
 
 /** Reads terms from the settings handed over at a start, as values by path: {@code profiles.0.effect}. */
-public final class TermsReader {
+public final class PolicySettingsReader {
     private final Map<String, String> values;
 
-    public TermsReader(Map<String, String> values) {
+    public PolicySettingsReader(Map<String, String> values) {
         this.values = values;
     }
 
     /** Of settings written as path=value lines. */
-    public static TermsReader ofLines(String text) {
+    public static PolicySettingsReader ofLines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
             int at = line.indexOf('=');
@@ -27,10 +28,10 @@
                 values.put(line.substring(0, at).strip(), line.substring(at + 1).strip());
             }
         }
-        return new TermsReader(values);
+        return new PolicySettingsReader(values);
     }
 
-    public Terms terms() {
+    public PolicySettings terms() {
         List<Profile> profiles = new ArrayList<>();
         int count = (int) number("profiles.count", null);
         if (count < 1) {
@@ -44,7 +45,7 @@
         for (int i = 0; i < tenants; i++) {
             customers.add(new Customer(number("tenants." + i + ".share", 1.0 / tenants)));
         }
-        return new Terms(
+        return new PolicySettings(
                 profiles,
                 customers,
                 (int) Math.max(1, number("n_instances", 1.0)),
--- a/sidecar/src/main/java/trestlegrade/sidecar/Commission.java
+++ b/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.config;
 
 import io.vertx.core.json.DecodeException;
 import io.vertx.core.json.JsonArray;
@@ -15,11 +15,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import trestlegrade.Terms;
-import trestlegrade.TermsReader;
+import trestlegrade.policy.settings.PolicySettings;
 
 /** What a sidecar is told at its start: who it is, whom it serves, and on which terms. */
-record Commission(
+public record SidecarConfig(
         String name,
         SocketAddress listen,
         SocketAddress discovery,
@@ -27,7 +26,7 @@
         int sockets,
         long version,
         JsonArray known,
-        Terms terms,
+        PolicySettings terms,
         List<String> profiles,
         List<String> customers,
         List<String> zones,
@@ -38,7 +37,7 @@
         long drainGrace) {
 
     /** Reads the file that LB_CONFIG names; what the file leaves out may stand in the environment. */
-    static Commission read(Map<String, String> environment) {
+    public static SidecarConfig read(Map<String, String> environment) {
         String path = environment.get("LB_CONFIG");
         if (path == null || path.isEmpty()) {
             throw bad("LB_CONFIG", "not set; it names the configuration file");
@@ -54,12 +53,12 @@
         return of(file, environment);
     }
 
-    static Commission of(JsonObject file, Map<String, String> environment) {
+    public static SidecarConfig of(JsonObject file, Map<String, String> environment) {
         JsonObject settings = object(file, "settings");
         Map<String, String> values = new HashMap<>();
         flatten("", settings, values);
-        TermsReader reader = new TermsReader(values);
-        Terms terms;
+        PolicySettingsReader reader = new PolicySettingsReader(values);
+        PolicySettings terms;
         try {
             terms = reader.terms();
         } catch (IllegalArgumentException e) {
@@ -80,7 +79,7 @@
         if (!(known.getValue("index", 0) instanceof Number version)) {
             throw bad("known.index", "must be a number");
         }
-        return new Commission(
+        return new SidecarConfig(
                 text(file, "name", environment.get("LB_NAME")),
                 address("listen", text(file, "listen", environment.get("LB_LISTEN"))),
                 address("discovery", text(file, "discovery", environment.get("LB_DISCOVERY"))),
@@ -100,25 +99,25 @@
     }
 
     /** The longest deadline, in milliseconds: what any transaction takes at the most. */
-    long longestDeadline() {
+    public long longestDeadline() {
         return terms.profiles().stream()
-                        .mapToLong(Terms.Profile::deadline)
+                        .mapToLong(PolicySettings.Profile::deadline)
                         .max()
                         .orElse(0)
                 / 10;
     }
 
     /** The longest service goal, in milliseconds. */
-    long longestGoal() {
+    public long longestGoal() {
         return terms.profiles().stream()
-                        .mapToLong(Terms.Profile::serviceGoal)
+                        .mapToLong(PolicySettings.Profile::serviceGoal)
                         .max()
                         .orElse(0)
                 / 10;
     }
 
     /** What another file says otherwise, of all that holds until the program ends. */
-    List<String> differsIn(Commission other) {
+    public List<String> differsIn(SidecarConfig other) {
         Map<String, Boolean> same = new LinkedHashMap<>();
         same.put("name", name.equals(other.name));
         same.put("listen", listen.equals(other.listen));
@@ -126,7 +125,7 @@
         return same.keySet().stream().filter(key -> !same.get(key)).toList();
     }
 
-    boolean sameSettings(Commission other) {
+    public boolean sameSettings(SidecarConfig other) {
         return terms.equals(other.terms)
                 && profiles.equals(other.profiles)
                 && customers.equals(other.customers)
@@ -181,7 +180,7 @@
         throw bad(key, "must be a text");
     }
 
-    static SocketAddress address(String key, String text) {
+    public static SocketAddress address(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
--- a/sidecar/src/main/java/trestlegrade/sidecar/Discovery.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.discovery;
 
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -18,20 +18,24 @@
 import java.util.List;
 import java.util.Objects;
 import org.tinylog.Logger;
-import trestlegrade.DiscoveryBackoff;
-import trestlegrade.ListLease;
-import trestlegrade.Terms;
+import trestlegrade.metrics.Counters;
+import trestlegrade.policy.lease.EndpointListLease;
+import trestlegrade.policy.retry.DiscoveryBackoff;
+import trestlegrade.policy.settings.PolicySettings;
+import trestlegrade.runtime.EventLoopLag;
+import trestlegrade.runtime.MonotonicClock;
+import trestlegrade.runtime.PolicyExecutor;
 
 /** Watches discovery for changes of the list, one watch at a time; the desk says when to ask again. */
-final class Discovery {
+public final class DiscoveryClient {
     private final Vertx vertx;
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final Counters counters;
-    private final Lateness lateness;
+    private final EventLoopLag lateness;
     private SocketAddress address;
     private final HttpClientAgent client;
-    private final Desk desk;
-    private final ListLease lease;
+    private final PolicyExecutor desk;
+    private final EndpointListLease lease;
     private final long seed;
     private boolean expired;
     private long version;
@@ -41,15 +45,15 @@
 
     private long spareNotBefore;
 
-    Discovery(
+    public DiscoveryClient(
             Vertx vertx,
-            Clock clock,
+            MonotonicClock clock,
             Counters counters,
-            Lateness lateness,
+            EventLoopLag lateness,
             SocketAddress address,
             long version,
-            Desk desk,
-            ListLease lease,
+            PolicyExecutor desk,
+            EndpointListLease lease,
             long seed) {
         this.vertx = vertx;
         this.clock = clock;
@@ -100,7 +104,7 @@
     }
 
     /** Milliseconds since discovery last spoke. */
-    long age() {
+    public long age() {
         return (clock.now() - heardAt) / 10;
     }
 
@@ -129,7 +133,7 @@
     private static final int CONNECT_WITHIN = 1_000;
 
     /** Asks for changes from the last version on, unless a watch is under way already. */
-    void watch() {
+    public void watch() {
         if (current == null) {
             counters.watches++;
             Watch watch = new Watch();
@@ -144,7 +148,7 @@
     }
 
     /** Another place to ask, from now on. The list and its version stay: it is one service for all. */
-    void moveTo(SocketAddress to) {
+    public void moveTo(SocketAddress to) {
         if (!to.equals(address)) {
             List<Watch> old = new ArrayList<>();
             old.add(current);
@@ -178,7 +182,7 @@
     private final Promise<Void> firstWord = Promise.promise();
 
     /** Settings hold, from now on. */
-    void adopt(Terms terms) {
+    public void adopt(PolicySettings terms) {
         pushed = !terms.listOnRequest();
         boolean first = backoff == null;
         backoff = new DiscoveryBackoff(terms, seed);
@@ -192,7 +196,7 @@
      * Done once the list may be relied on: where it is pushed a new process is held to what the agent has from its
      * first moment, whatever list it was given. An agent that says nothing is waited for this long at the most.
      */
-    Future<Void> relied() {
+    public Future<Void> relied() {
         if (!pushed) {
             return Future.succeededFuture();
         }
@@ -209,7 +213,7 @@
                 && String.valueOf(cause.getMessage()).startsWith("Connection refused");
     }
 
-    long version() {
+    public long version() {
         return version;
     }
 
@@ -271,12 +275,12 @@
 
         private void read(HttpClientResponse response) {
             heard = clock.now();
-            ListReader reader = new ListReader(this::told);
+            EndpointListParser reader = new EndpointListParser(this::told);
             response.exceptionHandler(e -> end("closed", e));
             response.endHandler(v -> end("closed", "answer ended"));
             response.handler(bytes -> {
                 // Behind half an object an empty line is no word: it went on for good, and the object never came.
-                if (reader.betweenObjects() || !ListReader.blank(bytes)) {
+                if (reader.betweenObjects() || !EndpointListParser.blank(bytes)) {
                     heard = clock.now();
                 }
                 replaceOther(this);
--- a/sidecar/src/main/java/trestlegrade/sidecar/ListReader.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointListParser.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.discovery;
 
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.json.JsonObject;
@@ -10,14 +10,14 @@
  * Reads what discovery writes: objects, each told as it ends, however they are laid out (on one line or over many) and
  * wherever the bytes are cut. What is none throws.
  */
-final class ListReader {
+final class EndpointListParser {
     // A list of ten thousand endpoints, indented.
     private static final int LONGEST = 4 << 20;
 
     private final JsonParser parser = JsonParser.newParser().objectValueMode();
     private int unfinished;
 
-    ListReader(Consumer<JsonObject> told) {
+    EndpointListParser(Consumer<JsonObject> told) {
         parser.handler(event -> {
             if (event.type() != JsonEventType.VALUE || !event.isObject()) {
                 throw new IllegalArgumentException("an object must stand there, not " + event.type());
@@ -32,7 +32,7 @@
         return unfinished == 0;
     }
 
-    void read(Buffer bytes) {
+    public void read(Buffer bytes) {
         // The empty lines of an idle watch belong to no object and need no parser.
         if (unfinished == 0 && blank(bytes)) {
             return;
--- a/sidecar/src/main/java/trestlegrade/sidecar/Roster.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointRegistry.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.discovery;
 
 import com.carrotsearch.hppc.LongObjectHashMap;
 import io.vertx.core.json.JsonArray;
@@ -9,29 +9,31 @@
 import java.util.List;
 import java.util.zip.CRC32;
 import org.tinylog.Logger;
-import trestlegrade.Listed;
+import trestlegrade.config.SidecarConfig;
+import trestlegrade.metrics.Counters;
+import trestlegrade.policy.endpoint.EndpointUpdate;
 
 /** The endpoints by name and address, as discovery's entries tell of them. */
-final class Roster {
+public final class EndpointRegistry {
 
     /** One endpoint: where it listens and whether it takes anything new. */
-    static final class Endpoint {
-        final long id;
-        final String name;
-        SocketAddress address;
-        boolean active;
-        private Listed row;
+    public static final class Endpoint {
+        public final long id;
+        public final String name;
+        public SocketAddress address;
+        public boolean active;
+        private EndpointUpdate row;
         private long launched;
         private int pass;
 
-        Endpoint(long id, String name) {
+        public Endpoint(long id, String name) {
             this.id = id;
             this.name = name;
         }
     }
 
     /** Told of endpoints that left, drain, moved or started anew: old connections to them are of no use. */
-    interface Watcher {
+    public interface Watcher {
         void outdated(Endpoint endpoint);
     }
 
@@ -42,7 +44,7 @@
     private final Counters counters;
     private int passes;
 
-    Roster(List<String> zones, List<String> kinds, Watcher watcher, Counters counters) {
+    public EndpointRegistry(List<String> zones, List<String> kinds, Watcher watcher, Counters counters) {
         this.zones = new ArrayList<>(zones);
         this.kinds = new ArrayList<>(kinds);
         this.watcher = watcher;
@@ -50,8 +52,8 @@
     }
 
     /** All that have not left, as they were last listed. */
-    List<Listed> all() {
-        List<Listed> rows = new ArrayList<>(byId.size());
+    public List<EndpointUpdate> all() {
+        List<EndpointUpdate> rows = new ArrayList<>(byId.size());
         for (var each : byId) {
             rows.add(each.value.row);
         }
@@ -59,15 +61,15 @@
     }
 
     /** Where a zone stands among those known; the numbering only grows, so that it holds for all terms. */
-    int zone(String name) {
+    public int zone(String name) {
         return index(zones, name);
     }
 
-    Endpoint endpoint(long id) {
+    public Endpoint endpoint(long id) {
         return byId.get(id);
     }
 
-    boolean anyActive() {
+    public boolean anyActive() {
         for (var each : byId) {
             if (each.value.active) {
                 return true;
@@ -77,10 +79,10 @@
     }
 
     /** Takes over a list, whole or only what changed; entries that cannot be read are left out and logged. */
-    List<Listed> take(JsonArray entries, boolean whole) {
+    public List<EndpointUpdate> take(JsonArray entries, boolean whole) {
         passes++;
         stopped.clear();
-        List<Listed> rows = new ArrayList<>(entries.size());
+        List<EndpointUpdate> rows = new ArrayList<>(entries.size());
         for (int i = 0; i < entries.size(); i++) {
             try {
                 take(entries.getJsonObject(i), rows);
@@ -135,7 +137,7 @@
      * Of an entry that cannot be read two things hold all the same, if it tells whose it is by name or else by address:
      * that the endpoint drains or has left, or that it is still there, as it was last listed.
      */
-    private void keep(JsonObject told, List<Listed> rows) {
+    private void keep(JsonObject told, List<EndpointUpdate> rows) {
         Endpoint known = told.getValue("name") instanceof String name
                 ? byId.get(id(name))
                 : told.getValue("address") instanceof String address ? at(address) : null;
@@ -145,7 +147,7 @@
         known.pass = passes;
         Object status = told.getValue("status");
         if ("left".equals(status)) {
-            rows.add(new Listed(known.id, 0, 0, 0, Listed.State.GONE, 0, 0));
+            rows.add(new EndpointUpdate(known.id, 0, 0, 0, EndpointUpdate.State.GONE, 0, 0));
             remove(known);
         } else {
             boolean goes = status instanceof String && !"active".equals(status);
@@ -175,14 +177,14 @@
     }
 
     /** Two cannot listen at one address: the one that started last does, whatever is still said of the other. */
-    private boolean outlives(Endpoint endpoint, List<Listed> rows) {
+    private boolean outlives(Endpoint endpoint, List<EndpointUpdate> rows) {
         for (var each : byId.values()) {
             Endpoint other = each.value;
             if (other != endpoint && other.active && other.address.equals(endpoint.address)) {
                 if (other.launched > endpoint.launched) {
                     return false;
                 }
-                rows.add(new Listed(other.id, 0, 0, 0, Listed.State.GONE, 0, 0));
+                rows.add(new EndpointUpdate(other.id, 0, 0, 0, EndpointUpdate.State.GONE, 0, 0));
                 remove(other);
                 return true;
             }
@@ -190,19 +192,19 @@
         return true;
     }
 
-    private void take(JsonObject entry, List<Listed> rows) {
+    private void take(JsonObject entry, List<EndpointUpdate> rows) {
         if (!(entry.getValue("name") instanceof String name)) {
             throw new IllegalArgumentException("name: must be a text");
         }
         long id = id(name);
-        Listed.State state = switch (entry.getString("status", "")) {
-            case "active" -> Listed.State.READY;
-            case "left" -> Listed.State.GONE;
-            default -> Listed.State.DRAINING;
+        EndpointUpdate.State state = switch (entry.getString("status", "")) {
+            case "active" -> EndpointUpdate.State.READY;
+            case "left" -> EndpointUpdate.State.GONE;
+            default -> EndpointUpdate.State.DRAINING;
         };
         Endpoint endpoint = byId.get(id);
-        if (state == Listed.State.GONE) {
-            rows.add(new Listed(id, 0, 0, 0, state, 0, 0));
+        if (state == EndpointUpdate.State.GONE) {
+            rows.add(new EndpointUpdate(id, 0, 0, 0, state, 0, 0));
             if (endpoint != null) {
                 remove(endpoint);
             }
@@ -216,8 +218,8 @@
             throw new IllegalArgumentException("weight: must be above 0, not " + weight);
         }
         long launched = entry.getLong("since_ms", 0L) * 10;
-        SocketAddress address = Commission.address("address", entry.getString("address"));
-        Listed row = new Listed(
+        SocketAddress address = SidecarConfig.address("address", entry.getString("address"));
+        EndpointUpdate row = new EndpointUpdate(
                 id,
                 index(zones, entry.getString("zone")),
                 index(kinds, entry.getString("type")),
@@ -226,17 +228,19 @@
                 weight,
                 launched);
         boolean outdated = endpoint.active
-                && (state != Listed.State.READY || launched != endpoint.launched || !address.equals(endpoint.address));
+                && (state != EndpointUpdate.State.READY
+                        || launched != endpoint.launched
+                        || !address.equals(endpoint.address));
         endpoint.address = address;
         endpoint.launched = launched;
-        if (state == Listed.State.READY) {
+        if (state == EndpointUpdate.State.READY) {
             endpoint.active = true;
         } else {
             stop(endpoint);
         }
         endpoint.pass = passes;
         if (endpoint.active && !outlives(endpoint, rows)) {
-            rows.add(new Listed(id, 0, 0, 0, Listed.State.GONE, 0, 0));
+            rows.add(new EndpointUpdate(id, 0, 0, 0, EndpointUpdate.State.GONE, 0, 0));
             remove(endpoint);
             return;
         }
--- a/sidecar/src/main/java/trestlegrade/sidecar/BodyMemory.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BodyMemoryBudget.java
@@ -1,40 +1,40 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 /**
  * Bounds the memory that the bodies of one kind, of requests or of answers, take together. What would go over the bound
  * is refused by whoever asks, so that no load can fill the heap, at which the runtime ends the process.
  */
-final class BodyMemory {
+public final class BodyMemoryBudget {
     private static final int LEAST = 64;
 
     private final long most;
     private long held;
 
-    BodyMemory(long most) {
+    public BodyMemoryBudget(long most) {
         this.most = most;
     }
 
     /** A part of the heap. */
-    static BodyMemory ofHeap(double part) {
-        return new BodyMemory((long) (part * Runtime.getRuntime().maxMemory()));
+    public static BodyMemoryBudget ofHeap(double part) {
+        return new BodyMemoryBudget((long) (part * Runtime.getRuntime().maxMemory()));
     }
 
-    long held() {
+    public long held() {
         return held;
     }
 
-    Claim claim() {
+    public Claim claim() {
         return new Claim();
     }
 
     /** What one body holds, until it is released. */
-    final class Claim {
+    public final class Claim {
         private long bytes;
 
         private Claim() {}
 
         /** Whether the body may grow to this length; a buffer that grows doubles. */
-        boolean grow(int length) {
+        public boolean grow(int length) {
             long wanted = capacity(length);
             if (wanted <= bytes) {
                 return true;
@@ -48,7 +48,7 @@
         }
 
         /** Once more does nothing. */
-        void release() {
+        public void release() {
             held -= bytes;
             bytes = 0;
         }
--- a/sidecar/src/main/java/trestlegrade/sidecar/BoundedTransport.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BoundedTransport.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFactory;
@@ -13,28 +13,31 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import trestlegrade.metrics.Counters;
+import trestlegrade.runtime.MonotonicClock;
+import trestlegrade.runtime.TimerRoundingIoHandler;
 
 /**
  * Vert.x's usual transport, but its loop sleeps between timers ({@link TimerRoundingIoHandler}), and its listener
  * accepts no connection while there is no descriptor for one: the client waits in the listener's queue instead. To
  * accept and close it would lose what it has sent.
  */
-final class BoundedTransport implements io.vertx.core.spi.transport.Transport {
+public final class BoundedTransport implements io.vertx.core.spi.transport.Transport {
     private final io.vertx.core.spi.transport.Transport usual = Transport.NIO.implementation();
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final Counters.Turns turns;
     private final Consumer<IOException> acceptFailed;
     private volatile Listener listener;
 
     /** {@code acceptFailed} is told of each accept that the system refuses, on the loop of the listener. */
-    BoundedTransport(Descriptors descriptors, Counters.Turns turns, Consumer<IOException> acceptFailed) {
+    public BoundedTransport(DescriptorBudget descriptors, Counters.Turns turns, Consumer<IOException> acceptFailed) {
         this.descriptors = descriptors;
         this.turns = turns;
         this.acceptFailed = acceptFailed;
     }
 
     /** As Vert.x's builder takes it. */
-    Transport transport() {
+    public Transport transport() {
         return new Transport() {
             @Override
             public String name() {
@@ -63,7 +66,7 @@
      * program has not, and what they have sent is lost. At the last moment it ends whoever waits. {@code then} is told
      * from the listener's own loop.
      */
-    void shut(Clock clock, long lastMoment, Runnable then) {
+    public void shut(MonotonicClock clock, long lastMoment, Runnable then) {
         Listener open = listener;
         if (open == null) {
             then.run();
@@ -97,7 +100,7 @@
             descriptors.whenFree(() -> config().setAutoRead(true));
         }
 
-        private void drain(Clock clock, long lastMoment, Runnable then) {
+        private void drain(MonotonicClock clock, long lastMoment, Runnable then) {
             int before = letIn;
             // Freed by what runs beside this look (the end of those that stand idle), for nobody who waits yet: the
             // listener ended with all of them still in its queue.
--- a/sidecar/src/main/java/trestlegrade/sidecar/Clients.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 import io.vertx.core.Context;
 import io.vertx.core.Future;
@@ -10,26 +10,29 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
+import trestlegrade.metrics.Counters;
+import trestlegrade.runtime.EventLoopLag;
+import trestlegrade.runtime.MonotonicClock;
 
 /**
  * The application's connections: how many there may be, and how long each may stand without a transaction. One that
  * brings nothing is ended before it costs those that do a turn or a descriptor.
  */
-final class Clients {
+final class ClientConnections {
 
     /** One connection; {@code reason} says why it ends once this side has decided that. */
-    final class Connection {
+    public final class Connection {
         private final HttpConnection http;
-        private final StrictDecoder decoder;
+        private final StrictRequestDecoder decoder;
         private final long opened;
         private long used;
         private int carried;
         /** The answer that is owed to what is being read; null while nothing is. */
         private HttpServerResponse reading;
 
-        private Exchange exchange;
+        private InboundRequest exchange;
         /** Of the body that is being read, or was and is no transaction's. */
-        private BodyMemory.Claim memory;
+        private BodyMemoryBudget.Claim memory;
         /** Its last answer; done once the kernel has all of it. */
         private Future<Void> written = Future.succeededFuture();
 
@@ -37,9 +40,9 @@
         /** Whether this side has closed it, and waits to be told so. */
         private boolean closing;
 
-        String reason;
+        public String reason;
 
-        private Connection(HttpConnection http, StrictDecoder decoder, long opened) {
+        private Connection(HttpConnection http, StrictRequestDecoder decoder, long opened) {
             this.http = http;
             this.decoder = decoder;
             this.opened = opened;
@@ -47,7 +50,7 @@
         }
 
         /** A head has come. */
-        void reads(HttpServerResponse answer, BodyMemory.Claim body, long now) {
+        public void reads(HttpServerResponse answer, BodyMemoryBudget.Claim body, long now) {
             reading = answer;
             memory = body;
             used = now;
@@ -58,7 +61,7 @@
         }
 
         /** What was read is a transaction. */
-        void took(Exchange taken) {
+        public void took(InboundRequest taken) {
             reading = null;
             exchange = taken;
             taken.holds(memory);
@@ -66,7 +69,7 @@
             carried++;
         }
 
-        int carried() {
+        public int carried() {
             return carried;
         }
 
@@ -90,12 +93,12 @@
         }
 
         /** Whether its last answer has been given: what still comes on it is nobody's. */
-        boolean ending() {
+        public boolean ending() {
             return ending;
         }
 
         /** Vert.x leaves a connection open after an answer that says it ends, so it is closed here. */
-        void answer(HttpServerResponse response, int status, Buffer body, long now) {
+        public void answer(HttpServerResponse response, int status, Buffer body, long now) {
             send(response, status, body, now);
             if (ending) {
                 decoder.deaf = true;
@@ -109,11 +112,11 @@
         }
 
         /** Done once its last answer is written, or can no longer be. */
-        Future<Void> written() {
+        public Future<Void> written() {
             return written;
         }
 
-        void send(HttpServerResponse response, int status, Buffer body, long now) {
+        public void send(HttpServerResponse response, int status, Buffer body, long now) {
             // What the client has sent ahead was taken with its last byte, and has its answer before the end.
             boolean more = decoder.waits();
             if (reason == null && !more && open.size() > descriptors.most() / CROWD) {
@@ -138,7 +141,7 @@
             }
         }
 
-        void close(String why) {
+        public void close(String why) {
             reason = reason == null ? why : reason;
             closing = true;
             http.close();
@@ -146,22 +149,22 @@
     }
 
     private final Vertx vertx;
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final Counters counters;
-    private final Descriptors descriptors;
-    private final Lateness lateness;
-    private final Consumer<Exchange> left;
+    private final DescriptorBudget descriptors;
+    private final EventLoopLag lateness;
+    private final Consumer<InboundRequest> left;
     // Oldest first.
     private final Map<HttpConnection, Connection> open = new LinkedHashMap<>();
     private boolean keep;
 
-    Clients(
+    ClientConnections(
             Vertx vertx,
-            Clock clock,
+            MonotonicClock clock,
             Counters counters,
-            Descriptors descriptors,
-            Lateness lateness,
-            Consumer<Exchange> left) {
+            DescriptorBudget descriptors,
+            EventLoopLag lateness,
+            Consumer<InboundRequest> left) {
         this.vertx = vertx;
         this.clock = clock;
         this.counters = counters;
@@ -187,11 +190,11 @@
         sendsWithin = Math.max(STANDS, longestDeadline);
     }
 
-    Connection of(HttpConnection connection) {
+    public Connection of(HttpConnection connection) {
         return open.get(connection);
     }
 
-    Connection connected(HttpConnection connection, StrictDecoder decoder) {
+    public Connection connected(HttpConnection connection, StrictRequestDecoder decoder) {
         Connection client = new Connection(connection, decoder, clock.now());
         open.put(connection, client);
         connection.exceptionHandler(e -> {});
@@ -344,7 +347,7 @@
     private static final long UNREAD = 1_000;
 
     /** No new ones will come: those in use stay as long as this program does. */
-    void keep() {
+    public void keep() {
         keep = true;
     }
 
@@ -352,7 +355,7 @@
      * Idle connections are closed, and each other one with its next answer. One just let in may hold its transaction
      * unread: it is given time to bring it.
      */
-    void leave() {
+    public void leave() {
         long before = clock.now() - UNREAD - 2 * lateness.now();
         boolean again = false;
         for (Connection client : new ArrayList<>(open.values())) {
@@ -377,11 +380,11 @@
         }
     }
 
-    int count() {
+    public int count() {
         return open.size();
     }
 
-    boolean isEmpty() {
+    public boolean isEmpty() {
         return open.isEmpty();
     }
 }
--- a/sidecar/src/main/java/trestlegrade/sidecar/Descriptors.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/DescriptorBudget.java
@@ -1,9 +1,9 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** How many connections one side may hold, clients or attempts, of those that this process may. */
-final class Descriptors {
+public final class DescriptorBudget {
     // Its listener, discovery, jar, pipes and the loops' own come to 20; the rest is for what just closes.
     private static final int OWN = 32;
 
@@ -12,7 +12,7 @@
     private volatile Runnable whenFree = () -> {};
     private volatile Runnable whenAwaited = () -> {};
 
-    private Descriptors(int most) {
+    private DescriptorBudget(int most) {
         this.most = most;
     }
 
@@ -20,25 +20,25 @@
     // ones and for what has just been closed; the rest is for clients that bring nothing.
     private static final double ATTEMPTS = 0.45;
 
-    static Descriptors forAttempts(int sockets) {
-        return new Descriptors((int) ((sockets - OWN) * ATTEMPTS));
+    public static DescriptorBudget forAttempts(int sockets) {
+        return new DescriptorBudget((int) ((sockets - OWN) * ATTEMPTS));
     }
 
-    static Descriptors forClients(int sockets) {
-        return new Descriptors(sockets - OWN - forAttempts(sockets).most);
+    public static DescriptorBudget forClients(int sockets) {
+        return new DescriptorBudget(sockets - OWN - forAttempts(sockets).most);
     }
 
-    void take() {
+    public void take() {
         held.incrementAndGet();
     }
 
-    void giveBack() {
+    public void giveBack() {
         if (held.getAndDecrement() >= most) {
             whenFree.run();
         }
     }
 
-    boolean full() {
+    public boolean full() {
         return held.get() >= most;
     }
 
@@ -61,11 +61,11 @@
     private volatile long awaitedAt = System.nanoTime() - QUEUE_EMPTIES;
     private static final long QUEUE_EMPTIES = 1_000_000_000;
 
-    int held() {
+    public int held() {
         return held.get();
     }
 
-    int most() {
+    public int most() {
         return most;
     }
 
--- a/sidecar/src/main/java/trestlegrade/sidecar/Heads.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/HeaderRules.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpHeadersFactory;
@@ -17,7 +17,7 @@
 import java.util.Set;
 
 /** Heads of messages: what the decisions need of them, and which fields go on to the other side. */
-final class Heads {
+public final class HeaderRules {
     // RFC 9110, 7.6.1, and what frames a body; the time left is told anew to each endpoint.
     private static final Set<String> STAY = Set.of(
             "connection",
@@ -31,10 +31,10 @@
             "expect",
             "x-expires-in");
 
-    private Heads() {}
+    private HeaderRules() {}
 
     /** All fields but those that are about one connection alone, and such as no head may hold. */
-    static MultiMap onward(Iterable<Map.Entry<String, String>> came, String named) {
+    public static MultiMap onward(Iterable<Map.Entry<String, String>> came, String named) {
         MultiMap onward = HttpHeaders.headers();
         came.forEach(field -> {
             String name = field.getKey();
@@ -49,7 +49,7 @@
     }
 
     /** An attempt as it is written: all as it came, but the time that is left (tenths of a millisecond). */
-    static FullHttpRequest attempt(Exchange exchange, long left) {
+    public static FullHttpRequest attempt(InboundRequest exchange, long left) {
         DefaultFullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.valueOf(exchange.method),
@@ -90,7 +90,7 @@
     }
 
     /** What the query's k says, as it was sent: the same at every sidecar without being decoded. */
-    static long key(String target) {
+    public static long key(String target) {
         int query = target.indexOf('?');
         for (int at = query; at >= 0; at = target.indexOf('&', at + 1)) {
             if (target.startsWith("k=", at + 1)) {
@@ -117,12 +117,12 @@
     }
 
     /** How long a body is said to be by its Content-Length; 0 without one. */
-    static long length(String text) {
+    public static long length(String text) {
         return text == null ? 0 : Long.parseLong(text.strip());
     }
 
     /** How long the client waits, in tenths of a millisecond: a number and m or u; -1 if not to be read. */
-    static long patience(String text) {
+    public static long patience(String text) {
         if (text == null) {
             return Long.MAX_VALUE;
         }
@@ -132,7 +132,7 @@
     }
 
     /** The work that a hint in microseconds tells of, in tenths of a millisecond; 0 if unreadable. */
-    static long cost(String text) {
+    public static long cost(String text) {
         return (long) Math.max(0, number(text) / 100);
     }
 
--- a/sidecar/src/main/java/trestlegrade/sidecar/Front.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 import io.netty.handler.codec.PrematureChannelClosureException;
 import io.netty.handler.codec.http.TooLongHttpHeaderException;
@@ -23,29 +23,36 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
-import trestlegrade.Terms.Profile;
-import trestlegrade.Terms.Repeat;
-import trestlegrade.sidecar.Clients.Connection;
+import trestlegrade.config.SidecarConfig;
+import trestlegrade.discovery.EndpointRegistry;
+import trestlegrade.inbound.ClientConnections.Connection;
+import trestlegrade.metrics.Counters;
+import trestlegrade.policy.settings.PolicySettings.Profile;
+import trestlegrade.policy.settings.PolicySettings.Repeat;
+import trestlegrade.runtime.EventLoopLag;
+import trestlegrade.runtime.MonotonicClock;
+import trestlegrade.runtime.PolicyExecutor;
+import trestlegrade.runtime.WarmUp;
 
 /** The application's side: reads transactions, hands them to the desk, and answers what is not one itself. */
-final class Front {
+public final class InboundHttpServer {
     // The protocol's bound on bodies.
-    static final int LONGEST_BODY = 64 << 10;
+    public static final int LONGEST_BODY = 64 << 10;
 
     private final Vertx vertx;
     private final Context context;
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final Counters counters;
-    private final Desk desk;
-    private final Roster roster;
-    private Commission commission;
-    private final Descriptors descriptors;
+    private final PolicyExecutor desk;
+    private final EndpointRegistry roster;
+    private SidecarConfig commission;
+    private final DescriptorBudget descriptors;
     private final BoundedTransport transport;
-    private final Lateness lateness;
+    private final EventLoopLag lateness;
     private Map<String, Integer> profiles;
     private Map<String, Integer> customers;
-    private final Clients clients;
-    private final BodyMemory bodies = BodyMemory.ofHeap(REQUESTS);
+    private final ClientConnections clients;
+    private final BodyMemoryBudget bodies = BodyMemoryBudget.ofHeap(REQUESTS);
     /** The ids of the transactions that are open. */
     private final Set<String> traces = new HashSet<>();
 
@@ -60,7 +67,7 @@
     private long lastAnswer = Long.MAX_VALUE;
 
     /** The way back to the application; one transaction at a time is under way on a connection. */
-    private final class Reply implements Exchange.Client {
+    private final class Reply implements InboundRequest.Client {
         private final Connection connection;
         private final HttpServerResponse response;
         private final String trace;
@@ -104,17 +111,17 @@
 
     private static final Buffer NOTHING = Buffer.buffer();
 
-    Front(
+    public InboundHttpServer(
             Vertx vertx,
             Context context,
-            Clock clock,
+            MonotonicClock clock,
             Counters counters,
-            Desk desk,
-            Roster roster,
-            Commission commission,
-            Descriptors descriptors,
+            PolicyExecutor desk,
+            EndpointRegistry roster,
+            SidecarConfig commission,
+            DescriptorBudget descriptors,
             BoundedTransport transport,
-            Lateness lateness) {
+            EventLoopLag lateness) {
         this.vertx = vertx;
         this.context = context;
         this.clock = clock;
@@ -124,7 +131,7 @@
         this.descriptors = descriptors;
         this.transport = transport;
         this.lateness = lateness;
-        clients = new Clients(vertx, clock, counters, descriptors, lateness, this::left);
+        clients = new ClientConnections(vertx, clock, counters, descriptors, lateness, this::left);
         adopt(commission);
     }
 
@@ -142,7 +149,7 @@
                 .setPerMessageWebSocketCompressionSupported(false);
         HttpServer server = vertx.createHttpServer(options);
         server.connectionHandler(connection -> {
-            StrictDecoder decoder = StrictDecoder.on(
+            StrictRequestDecoder decoder = StrictRequestDecoder.on(
                     connection, options, clock, lateness, held, () -> clients.of(connection).reason = "too-far-ahead");
             clients.connected(connection, decoder);
         });
@@ -152,7 +159,7 @@
     }
 
     /** New settings, for what is taken from now on. */
-    void adopt(Commission told) {
+    public void adopt(SidecarConfig told) {
         commission = told;
         clients.sendsWithin(10 * told.longestDeadline());
         profiles = numbered(told.profiles());
@@ -166,7 +173,7 @@
      * Listens. Where the system has no socket for it just now (EMFILE, ENFILE, ENOBUFS, ENOMEM) this tries again for a
      * while; an address that is taken is told at once.
      */
-    Future<HttpServer> listen() {
+    public Future<HttpServer> listen() {
         return listen(clock.now() + LISTENS_WITHIN);
     }
 
@@ -192,7 +199,7 @@
      * connections are closed, each other one with its next answer, and {@code ended} is told when none is open. What is
      * in the kernel when the program ends is lost, so it ends for any other reason only just before it is killed.
      */
-    void leave(Runnable ended) {
+    public void leave(Runnable ended) {
         leaving = true;
         clients.keep();
         long deadline = Math.min(LONGEST, commission.longestDeadline());
@@ -244,12 +251,12 @@
     private static final long LINGER = 600;
 
     /** From now on it calls itself healthy, if it knows an endpoint. */
-    void ready() {
+    public void ready() {
         ready = true;
     }
 
     /** Ids of transactions whose final answer is still owed. */
-    int openIds() {
+    public int openIds() {
         return traces.size();
     }
 
@@ -257,12 +264,12 @@
     private static final double REQUESTS = 0.3;
 
     /** Bytes that the bodies of requests hold, from their first byte until no attempt needs them. */
-    long bodyBytes() {
+    public long bodyBytes() {
         return bodies.held();
     }
 
     /** Connections of the application that are open now. */
-    int connections() {
+    public int connections() {
         return clients.count();
     }
 
@@ -279,7 +286,7 @@
         if (target.equals("/_health")) {
             int status = ready && roster.anyActive() && !leaving ? 200 : 503;
             client.answer(response, status, NOTHING, clock.now());
-        } else if (target.equals(Rehearsal.TARGET) && !ready) {
+        } else if (target.equals(WarmUp.TARGET) && !ready) {
             client.answer(response, 200, Buffer.buffer(target), clock.now());
         } else if (target.equals("/_counters")) {
             response.putHeader("Content-Type", "application/json");
@@ -290,7 +297,7 @@
     }
 
     private void read(HttpServerRequest request, Connection client) {
-        BodyMemory.Claim memory = bodies.claim();
+        BodyMemoryBudget.Claim memory = bodies.claim();
         client.reads(request.response(), memory, clock.now());
         Buffer body = Buffer.buffer();
         request.handler(part -> {
@@ -323,7 +330,7 @@
         });
         if (request.headers().contains("Transfer-Encoding") && request.headers().contains("Content-Length")) {
             reject(request, client, 400, "malformed");
-        } else if (Heads.length(request.getHeader("Content-Length")) > LONGEST_BODY) {
+        } else if (HeaderRules.length(request.getHeader("Content-Length")) > LONGEST_BODY) {
             refuseUnread(request, client, 413, "oversized");
         }
     }
@@ -332,10 +339,10 @@
     private void take(HttpServerRequest request, Connection client, Buffer body) {
         String target = request.uri();
         String trace = request.getHeader("X-Trace-Id");
-        long patience = Heads.patience(request.getHeader("X-Expires-In"));
-        String uri = Heads.asSent(target);
-        String named = Heads.asSent(request.getHeader("X-Qos"));
-        Integer profile = profiles.get(named != null ? named : Heads.firstOfPath(uri == null ? target : uri));
+        long patience = HeaderRules.patience(request.getHeader("X-Expires-In"));
+        String uri = HeaderRules.asSent(target);
+        String named = HeaderRules.asSent(request.getHeader("X-Qos"));
+        Integer profile = profiles.get(named != null ? named : HeaderRules.firstOfPath(uri == null ? target : uri));
         if (traces.contains(trace)) {
             // Somebody else's transaction is open under that id: no endpoint could tell the two apart.
             reject(request, client, 409, "id-taken");
@@ -358,17 +365,17 @@
             long end = Math.min(
                     lastAnswer - Math.min(late, wait / MOST_LATE),
                     clock.now() + wait - Math.max(unread, Math.min(Math.max(STALL, late), wait / MOST_LATE)));
-            Exchange exchange = new Exchange(
+            InboundRequest exchange = new InboundRequest(
                     request.method().name(),
                     uri,
-                    Heads.onward(request.headers(), request.getHeader("Connection")),
+                    HeaderRules.onward(request.headers(), request.getHeader("Connection")),
                     body,
                     profile,
                     terms.repeat() == Repeat.IDEMPOTENT,
-                    customers.getOrDefault(Heads.asSent(request.getHeader("X-Customer")), -1),
-                    Heads.key(target),
+                    customers.getOrDefault(HeaderRules.asSent(request.getHeader("X-Customer")), -1),
+                    HeaderRules.key(target),
                     end,
-                    Heads.cost(request.getHeader("X-Size-Hint")),
+                    HeaderRules.cost(request.getHeader("X-Size-Hint")),
                     new Reply(client, request.response(), trace));
             client.took(exchange);
             traces.add(trace);
@@ -391,7 +398,7 @@
     // (up to 1.2 s were seen), and what is answered half a second late is lost. Little is earned so late.
     private static final long STALL = 10_000;
 
-    private void left(Exchange exchange) {
+    private void left(InboundRequest exchange) {
         traces.remove(exchange.head.get("X-Trace-Id"));
         desk.clientLeft(exchange);
     }
--- a/sidecar/src/main/java/trestlegrade/sidecar/Exchange.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
@@ -1,16 +1,19 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 import io.vertx.core.Future;
 import io.vertx.core.MultiMap;
 import io.vertx.core.buffer.Buffer;
 import java.util.ArrayList;
 import java.util.List;
+import trestlegrade.metrics.Counters;
+import trestlegrade.outbound.OutboundAttempt;
+import trestlegrade.runtime.PolicyExecutor;
 
 /** One transaction with its client: what goes on unchanged, what the decisions need, and its one answer. */
-final class Exchange {
+public final class InboundRequest {
 
     /** The way back to a client, in the words of the protocol that it speaks. */
-    interface Client {
+    public interface Client {
         /** Whether it has left, so that no answer can reach it. */
         boolean gone();
 
@@ -23,29 +26,29 @@
         void abandoned();
     }
 
-    final String method;
+    public final String method;
     final String uri;
-    final MultiMap head;
-    final Buffer body;
-    final int profile;
-    final boolean repeatable;
-    final int customer;
-    final long key;
-    final long end;
-    final long cost;
-    final List<Attempt> attempts = new ArrayList<>(3);
+    public final MultiMap head;
+    public final Buffer body;
+    public final int profile;
+    public final boolean repeatable;
+    public final int customer;
+    public final long key;
+    public final long end;
+    public final long cost;
+    public final List<OutboundAttempt> attempts = new ArrayList<>(3);
     /** Attempts whose end has not been told yet. */
-    int out;
+    public int out;
     /** Given at the desk; 0 before. */
-    long id;
+    public long id;
     /** Under which it was taken; it ends under the same. */
-    Desk.Tenure tenure;
+    public PolicyExecutor.Tenure tenure;
 
     private final Client client;
-    private BodyMemory.Claim claim;
+    private BodyMemoryBudget.Claim claim;
     private boolean over;
 
-    Exchange(
+    public InboundRequest(
             String method,
             String uri,
             MultiMap head,
@@ -71,17 +74,17 @@
     }
 
     /** Whether the final answer has been given, or nobody waits for it any more. */
-    boolean over() {
+    public boolean over() {
         return over;
     }
 
     /** Whether anything may be written for it: its final answer is open, and somebody waits for it. */
-    boolean wanted() {
+    public boolean wanted() {
         return !over && !client.gone();
     }
 
     /** Done once the answer takes no more memory here. */
-    Future<Void> commit(MultiMap answerHead, Buffer answer, Counters counters) {
+    public Future<Void> commit(MultiMap answerHead, Buffer answer, Counters counters) {
         if (!ends(counters)) {
             return Future.succeededFuture();
         }
@@ -90,31 +93,31 @@
     }
 
     /** Its body's memory, which it holds until it is over and no attempt is out. */
-    void holds(BodyMemory.Claim memory) {
+    public void holds(BodyMemoryBudget.Claim memory) {
         claim = memory;
     }
 
-    void release() {
+    public void release() {
         if (claim != null) {
             claim.release();
         }
     }
 
-    void rollBack(long pause, Counters counters) {
+    public void rollBack(long pause, Counters counters) {
         if (ends(counters)) {
             counters.rolledBack++;
             client.rolledBack(pause);
         }
     }
 
-    void abandon(Counters counters) {
+    public void abandon(Counters counters) {
         if (ends(counters)) {
             counters.abandoned++;
             client.abandoned();
         }
     }
 
-    void clientLeft(Counters counters) {
+    public void clientLeft(Counters counters) {
         if (!over) {
             over = true;
             counters.clientsLeft++;
--- a/sidecar/src/main/java/trestlegrade/sidecar/InterruptibleSocketChannel.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InterruptibleSocketChannel.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/sidecar/src/main/java/trestlegrade/sidecar/LingeringClose.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/LingeringClose.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 import io.netty.channel.ChannelDuplexHandler;
 import io.netty.channel.ChannelHandlerContext;
@@ -8,6 +8,8 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.concurrent.TimeUnit;
+import trestlegrade.runtime.EventLoopLag;
+import trestlegrade.runtime.MonotonicClock;
 
 /**
  * A client's connection that is closed behind an answer, by this program or by the library, ends on this side only at
@@ -25,15 +27,15 @@
     private static final long QUIET_PARTIAL = 10_000;
     private static final long LONGEST_PARTIAL = 30_000;
 
-    private final StrictDecoder decoder;
-    private final Clock clock;
-    private final Lateness lateness;
+    private final StrictRequestDecoder decoder;
+    private final MonotonicClock clock;
+    private final EventLoopLag lateness;
     private boolean answering;
     private long answered = Long.MIN_VALUE / 2;
     private boolean lingers;
     private ChannelHandlerContext context;
 
-    LingeringClose(StrictDecoder decoder, Clock clock, Lateness lateness) {
+    LingeringClose(StrictRequestDecoder decoder, MonotonicClock clock, EventLoopLag lateness) {
         this.decoder = decoder;
         this.clock = clock;
         this.lateness = lateness;
--- a/sidecar/src/main/java/trestlegrade/sidecar/PipeliningGate.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/PipeliningGate.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 import io.netty.channel.ChannelDuplexHandler;
 import io.netty.channel.ChannelHandlerContext;
@@ -12,6 +12,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Map;
+import trestlegrade.runtime.MonotonicClock;
 
 /**
  * The pipelining gate: lets one message at a time through to the front, the next with the answer to the one before.
@@ -22,7 +23,7 @@
 final class PipeliningGate extends ChannelDuplexHandler {
 
     /** What all connections hold together. */
-    static final class Held {
+    public static final class Held {
         private long bytes;
     }
 
@@ -33,10 +34,10 @@
     // What a head takes beside its text, at the most.
     private static final long HEAD = 1 << 10;
 
-    private final StrictDecoder decoder;
+    private final StrictRequestDecoder decoder;
     private final Held all;
     private final Runnable tooFar;
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final Deque<Object> held = new ArrayDeque<>();
     /** When the last byte of each whole message that is held came. */
     private final Deque<Long> heldSince = new ArrayDeque<>();
@@ -46,7 +47,7 @@
     private boolean open;
 
     /** {@code tooFar} is told before the last message is let through that will be on this connection. */
-    PipeliningGate(StrictDecoder decoder, Clock clock, Held all, Runnable tooFar) {
+    PipeliningGate(StrictRequestDecoder decoder, MonotonicClock clock, Held all, Runnable tooFar) {
         this.decoder = decoder;
         this.clock = clock;
         this.all = all;
@@ -104,7 +105,7 @@
         }
     }
 
-    boolean waits() {
+    public boolean waits() {
         return !held.isEmpty();
     }
 
--- a/sidecar/src/main/java/trestlegrade/sidecar/StrictDecoder.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/StrictRequestDecoder.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -11,16 +11,18 @@
 import io.vertx.core.http.impl.HttpServerConnection;
 import io.vertx.core.http.impl.VertxHttpRequestDecoder;
 import java.util.List;
+import trestlegrade.runtime.EventLoopLag;
+import trestlegrade.runtime.MonotonicClock;
 
 /**
  * Vert.x's reader of transactions, but one that gives two lengths is none. Netty drops the Content-Length and follows
  * the chunks; who reads it the other way finds a second transaction in the body of the first.
  */
-final class StrictDecoder extends VertxHttpRequestDecoder {
+final class StrictRequestDecoder extends VertxHttpRequestDecoder {
     /** What still comes is read, so that the connection's end is seen, and dropped. */
     boolean deaf;
 
-    private final Clock clock;
+    private final MonotonicClock clock;
     private PipeliningGate gate;
     LingeringClose linger;
     /** When the first and the latest bytes of a message came that is not whole yet. */
@@ -31,7 +33,7 @@
     private final long opened;
     private final long queued;
 
-    private StrictDecoder(HttpServerOptions options, Clock clock, long queued) {
+    private StrictRequestDecoder(HttpServerOptions options, MonotonicClock clock, long queued) {
         super(options);
         this.clock = clock;
         this.queued = queued;
@@ -39,11 +41,11 @@
     }
 
     /** Takes the place of the usual one, before anything has been read. */
-    static StrictDecoder on(
+    public static StrictRequestDecoder on(
             HttpConnection connection,
             HttpServerOptions options,
-            Clock clock,
-            Lateness lateness,
+            MonotonicClock clock,
+            EventLoopLag lateness,
             PipeliningGate.Held held,
             Runnable tooFar) {
         Channel channel =
@@ -54,7 +56,7 @@
             // It may have come while the process stood still, before the listener saw that somebody waits.
             queued += lateness.stalledAt(clock.now() - queued);
         }
-        StrictDecoder decoder = new StrictDecoder(options, clock, queued);
+        StrictRequestDecoder decoder = new StrictRequestDecoder(options, clock, queued);
         pipeline.replace("httpDecoder", "httpDecoder", decoder);
         decoder.gate = new PipeliningGate(decoder, clock, held, tooFar);
         decoder.linger = new LingeringClose(decoder, clock, lateness);
@@ -87,7 +89,7 @@
     }
 
     /** Whether further messages wait for the answer to the one that was let through. */
-    boolean waits() {
+    public boolean waits() {
         return gate.waits();
     }
 
@@ -109,11 +111,11 @@
         return gate.cameAt();
     }
 
-    long begun() {
+    public long begun() {
         return begun;
     }
 
-    long heard() {
+    public long heard() {
         return heard;
     }
 
--- a/sidecar/src/main/java/trestlegrade/sidecar/LogLines.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/AsyncLog.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.metrics;
 
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
@@ -10,7 +10,7 @@
  * Writes the log on a thread of its own. While nobody reads the log, lines wait; when too many do, further ones are
  * counted and dropped: neither the event loop nor the memory may depend on who reads.
  */
-final class LogLines {
+public final class AsyncLog {
     // Half a megabyte of lines, a minute of a busy sidecar.
     private static final int MOST = 2048;
     private static final long LAST_WORDS = 300;
@@ -18,7 +18,7 @@
     private final BlockingQueue<Runnable> lines = new ArrayBlockingQueue<>(MOST);
     private final AtomicLong dropped = new AtomicLong();
 
-    LogLines() {
+    public AsyncLog() {
         Thread writer = new Thread(this::write, "log");
         writer.setDaemon(true);
         writer.start();
@@ -34,18 +34,18 @@
         }
     }
 
-    void add(Runnable line) {
+    public void add(Runnable line) {
         if (!lines.offer(line)) {
             dropped.incrementAndGet();
         }
     }
 
-    long dropped() {
+    public long dropped() {
         return dropped.get();
     }
 
     /** Waits until all is written, but no longer than the program's end can. */
-    void flush() {
+    public void flush() {
         CountDownLatch written = new CountDownLatch(1);
         add(written::countDown);
         try {
--- a/sidecar/src/main/java/trestlegrade/sidecar/Counters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/Counters.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.metrics;
 
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
@@ -10,72 +10,72 @@
 import java.util.function.LongSupplier;
 import org.HdrHistogram.Histogram;
 import org.tinylog.Logger;
-import trestlegrade.Outcome;
+import trestlegrade.policy.request.AttemptOutcome;
 
 /** What this sidecar took in, sent and answered since its start. */
-final class Counters {
+public final class Counters {
     /** Turns of the event loops, in which sockets were looked at; written by those loops alone. */
-    static final class Turns {
+    public static final class Turns {
         private final LongAdder all = new LongAdder();
         private final LongAdder idle = new LongAdder();
 
-        void count(int handled) {
+        public void count(int handled) {
             all.increment();
             if (handled == 0) {
                 idle.increment();
             }
         }
 
-        long all() {
+        public long all() {
             return all.sum();
         }
     }
 
-    final LogLines log;
-    final Turns turns = new Turns();
-    final Refusals refusals;
-    long taken;
-    long committed;
-    long rolledBack;
-    long abandoned;
-    long clientsLeft;
-    long sent;
-    long connects;
-    long noDescriptor;
-    long listLines;
-    long watches;
-    long badLines;
-    long badEntries;
-    long leasesExpired;
+    public final AsyncLog log;
+    public final Turns turns = new Turns();
+    public final RejectionCounters refusals;
+    public long taken;
+    public long committed;
+    public long rolledBack;
+    public long abandoned;
+    public long clientsLeft;
+    public long sent;
+    public long connects;
+    public long noDescriptor;
+    public long listLines;
+    public long watches;
+    public long badLines;
+    public long badEntries;
+    public long leasesExpired;
     /** The listener has a thread of its own. */
     private final LongAdder acceptsFailed = new LongAdder();
 
     private volatile long acceptFailureLogged = System.nanoTime() - ACCEPT_FAILURES_LOGGED_EVERY;
     private static final long ACCEPT_FAILURES_LOGGED_EVERY = 1_000_000_000;
     /** Tenths of a millisecond, to two digits up to a minute. */
-    final Histogram attemptTook = new Histogram(600_000, 2);
+    public final Histogram attemptTook = new Histogram(600_000, 2);
 
-    final Histogram loopLate = new Histogram(600_000, 2);
-    private final Map<Outcome, Long> attempts = new EnumMap<>(Outcome.class);
+    public final Histogram loopLate = new Histogram(600_000, 2);
+    private final Map<AttemptOutcome, Long> attempts = new EnumMap<>(AttemptOutcome.class);
     private final Map<Integer, Long> rejected = new TreeMap<>();
     private final Map<String, Long> connectionsEnded = new TreeMap<>();
     private final Map<String, LongSupplier> gauges = new TreeMap<>();
 
-    Counters(LogLines log) {
+    public Counters(AsyncLog log) {
         this.log = log;
-        refusals = new Refusals(log);
+        refusals = new RejectionCounters(log);
     }
 
-    void attempt(Outcome outcome) {
+    public void attempt(AttemptOutcome outcome) {
         attempts.merge(outcome, 1L, Long::sum);
     }
 
-    void rejected(int status) {
+    public void rejected(int status) {
         rejected.merge(status, 1L, Long::sum);
     }
 
     /** The system refused to let a client in; it waits in the listener's queue. */
-    void acceptFailed(IOException cause) {
+    public void acceptFailed(IOException cause) {
         acceptsFailed.increment();
         long now = System.nanoTime();
         if (now - acceptFailureLogged < ACCEPT_FAILURES_LOGGED_EVERY) {
@@ -87,7 +87,7 @@
     }
 
     /** One connection has ended: counted, and told in one line of the log. */
-    void ended(String side, String code, String peer, int carried, long openTenths) {
+    public void ended(String side, String code, String peer, int carried, long openTenths) {
         connectionsEnded.merge(side + ":" + code, 1L, Long::sum);
         log.add(() ->
                 Logger.info("{} code={} peer={} carried={} open_ms={}", side, code, peer, carried, openTenths / 10));
@@ -102,18 +102,18 @@
     }
 
     /** A figure that is read whenever somebody asks for the counters. */
-    void gauge(String name, LongSupplier figure) {
+    public void gauge(String name, LongSupplier figure) {
         gauges.put(name, figure);
     }
 
     /** What is open and held at this moment. */
-    JsonObject gauges() {
+    public JsonObject gauges() {
         JsonObject now = new JsonObject();
         gauges.forEach((name, figure) -> now.put(name, figure.getAsLong()));
         return now;
     }
 
-    JsonObject report() {
+    public JsonObject report() {
         JsonObject ends = new JsonObject();
         attempts.forEach((outcome, n) -> ends.put(outcome.name().toLowerCase(Locale.ROOT), n));
         JsonObject rejections = new JsonObject();
--- a/sidecar/src/main/java/trestlegrade/sidecar/MemoryWatch.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/HeapMonitor.java
@@ -1,10 +1,10 @@
-package trestlegrade.sidecar;
+package trestlegrade.metrics;
 
 import io.vertx.core.Vertx;
 import org.tinylog.Logger;
 
 /** Logs how full the heap is, and what may hold it, before the runtime ends the process for want of memory. */
-final class MemoryWatch {
+public final class HeapMonitor {
     private static final long LOOK_MS = 1_000;
     private static final double HIGH = 0.8;
     // Looks between two lines.
@@ -13,12 +13,12 @@
     private final Counters counters;
     private int quietLooks;
 
-    private MemoryWatch(Counters counters) {
+    private HeapMonitor(Counters counters) {
         this.counters = counters;
     }
 
-    static void start(Vertx vertx, Counters counters) {
-        MemoryWatch watch = new MemoryWatch(counters);
+    public static void start(Vertx vertx, Counters counters) {
+        HeapMonitor watch = new HeapMonitor(counters);
         counters.gauge("heap_used_kb", () -> used() >> 10);
         counters.gauge("heap_max_kb", () -> Runtime.getRuntime().maxMemory() >> 10);
         vertx.setPeriodic(LOOK_MS, timer -> watch.look());
--- a/sidecar/src/main/java/trestlegrade/sidecar/Refusals.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/RejectionCounters.java
@@ -1,14 +1,16 @@
-package trestlegrade.sidecar;
+package trestlegrade.metrics;
 
 import io.vertx.core.json.JsonObject;
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
 import org.tinylog.Logger;
-import trestlegrade.Refusal;
+import trestlegrade.inbound.InboundRequest;
+import trestlegrade.outbound.OutboundAttempt;
+import trestlegrade.policy.request.RejectionReason;
 
 /** Counts the transactions that are given up by their reason, and logs a sample of each reason. */
-final class Refusals {
+public final class RejectionCounters {
     // Tenths of a millisecond between two samples of one reason: a jam must not fill the log.
     private static final long SAMPLE_EVERY = 10_000;
 
@@ -20,27 +22,27 @@
         private long sinceSample;
     }
 
-    private final Map<Refusal, Tally> tallies = new EnumMap<>(Refusal.class);
-    private final LogLines log;
+    private final Map<RejectionReason, Tally> tallies = new EnumMap<>(RejectionReason.class);
+    private final AsyncLog log;
 
-    Refusals(LogLines log) {
+    RejectionCounters(AsyncLog log) {
         this.log = log;
-        for (Refusal each : Refusal.values()) {
+        for (RejectionReason each : RejectionReason.values()) {
             tallies.put(each, new Tally());
         }
     }
 
-    void rolledBack(long now, Exchange exchange, Refusal why) {
+    public void rolledBack(long now, InboundRequest exchange, RejectionReason why) {
         tallies.get(why).rolledBack++;
         sample(now, exchange, why, "rolled-back");
     }
 
-    void abandoned(long now, Exchange exchange, Refusal why) {
+    public void abandoned(long now, InboundRequest exchange, RejectionReason why) {
         tallies.get(why).abandoned++;
         sample(now, exchange, why, "abandoned");
     }
 
-    private void sample(long now, Exchange exchange, Refusal why, String code) {
+    private void sample(long now, InboundRequest exchange, RejectionReason why, String code) {
         Tally tally = tallies.get(why);
         tally.sinceSample++;
         if (now - tally.sampledAt < SAMPLE_EVERY) {
@@ -62,20 +64,20 @@
                 like));
     }
 
-    private static String attempts(Exchange exchange) {
+    private static String attempts(InboundRequest exchange) {
         StringBuilder text = new StringBuilder("[");
-        for (Attempt each : exchange.attempts) {
+        for (OutboundAttempt each : exchange.attempts) {
             text.append(text.length() > 1 ? "," : "").append(each.endpoint.name);
         }
         return text.append(']').toString();
     }
 
-    private static String name(Refusal why) {
+    private static String name(RejectionReason why) {
         return why.name().toLowerCase(Locale.ROOT);
     }
 
     /** By reason, how many were rolled back and how many abandoned. */
-    JsonObject report() {
+    public JsonObject report() {
         JsonObject report = new JsonObject();
         tallies.forEach((why, tally) -> report.put(
                 name(why), new JsonObject().put("rolled_back", tally.rolledBack).put("abandoned", tally.abandoned)));
--- a/sidecar/src/main/java/trestlegrade/sidecar/Attempts.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.outbound;
 
 import com.carrotsearch.hppc.LongObjectHashMap;
 import io.netty.handler.codec.http.HttpUtil;
@@ -11,41 +11,47 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.Iterator;
-import trestlegrade.Outcome;
-import trestlegrade.sidecar.Roster.Endpoint;
+import trestlegrade.config.SidecarConfig;
+import trestlegrade.discovery.EndpointRegistry.Endpoint;
+import trestlegrade.inbound.BodyMemoryBudget;
+import trestlegrade.inbound.DescriptorBudget;
+import trestlegrade.metrics.Counters;
+import trestlegrade.policy.request.AttemptOutcome;
+import trestlegrade.runtime.EventLoopLag;
+import trestlegrade.runtime.MonotonicClock;
 
 /**
  * Carries attempts to endpoints, one at a time on a connection, and tells how each ended. Connections are this class's
  * own: no library may send an attempt again, queue it behind another or pick its connection.
  */
-final class Attempts implements PooledConnection.Owner {
+public final class AttemptSender implements PooledConnection.Owner {
 
     /** Who is told that an attempt has ended; never called from inside {@link #send} or {@link #callOff}. */
-    interface Ends {
-        void attemptEnded(Attempt attempt, Outcome outcome);
+    public interface Ends {
+        void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome);
     }
 
     private final Vertx vertx;
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final Counters counters;
-    private final Lateness lateness;
+    private final EventLoopLag lateness;
     private final int settled;
     private final Ends ends;
     private final NetClient client;
     private final LongObjectHashMap<Deque<PooledConnection>> idle = new LongObjectHashMap<>();
     private long connectWithin;
     private long idleFor;
-    private final Descriptors descriptors;
-    private final BodyMemory answers = BodyMemory.ofHeap(ANSWERS);
+    private final DescriptorBudget descriptors;
+    private final BodyMemoryBudget answers = BodyMemoryBudget.ofHeap(ANSWERS);
     private final long sweeper;
 
-    Attempts(
+    public AttemptSender(
             Vertx vertx,
-            Clock clock,
+            MonotonicClock clock,
             Counters counters,
-            Lateness lateness,
+            EventLoopLag lateness,
             Ends ends,
-            Commission commission,
+            SidecarConfig commission,
             int settled) {
         this.vertx = vertx;
         this.clock = clock;
@@ -53,7 +59,7 @@
         this.lateness = lateness;
         this.settled = settled;
         this.ends = ends;
-        descriptors = Descriptors.forAttempts(commission.sockets());
+        descriptors = DescriptorBudget.forAttempts(commission.sockets());
         adopt(commission);
         trusted = idleFor;
         client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
@@ -61,7 +67,7 @@
     }
 
     /** New settings: for connections from now on, and for how long those that are open may stand idle. */
-    void adopt(Commission commission) {
+    public void adopt(SidecarConfig commission) {
         connectWithin = Math.max(1, commission.connectWithin() / 10);
         // A fifth of the endpoint's own time is left for what is under way and for a late event loop.
         idleFor = commission.idleFor() * 4 / 5;
@@ -74,24 +80,24 @@
     private static final double ANSWERS = 0.3;
 
     /** Bytes that the bodies of answers hold. */
-    long answerBytes() {
+    public long answerBytes() {
         return answers.held();
     }
 
     /** Connections to endpoints that are open or coming up. */
-    int connections() {
+    public int connections() {
         return descriptors.held();
     }
 
     /** Starts an attempt; the timeout is in tenths of a millisecond. */
-    void send(Attempt attempt, long timeout) {
+    public void send(OutboundAttempt attempt, long timeout) {
         if (timeout <= 0 || !attempt.endpoint.active || clock.now() >= attempt.writtenBefore) {
-            settle(attempt, Outcome.NOT_SENT);
+            settle(attempt, AttemptOutcome.NOT_SENT);
             return;
         }
         attempt.timer = vertx.setTimer(Math.max(1, (timeout + 9) / 10), t -> {
             attempt.timer = -1;
-            settle(attempt, Outcome.TIMED_OUT);
+            settle(attempt, AttemptOutcome.TIMED_OUT);
         });
         PooledConnection connection = idleConnection(attempt);
         if (connection != null) {
@@ -100,17 +106,17 @@
             connect(attempt);
         } else {
             counters.noDescriptor++;
-            settle(attempt, Outcome.NOT_SENT);
+            settle(attempt, AttemptOutcome.NOT_SENT);
         }
     }
 
     /** At the end of its transaction it has timed out, whichever comes first, this or its timer. */
-    void callOff(Attempt attempt) {
-        settle(attempt, clock.now() < attempt.exchange.end ? Outcome.CALLED_OFF : Outcome.TIMED_OUT);
+    public void callOff(OutboundAttempt attempt) {
+        settle(attempt, clock.now() < attempt.exchange.end ? AttemptOutcome.CALLED_OFF : AttemptOutcome.TIMED_OUT);
     }
 
     /** Idle connections to an endpoint that left, drains or started anew are of no more use. */
-    void outdated(Endpoint endpoint) {
+    public void outdated(Endpoint endpoint) {
         dropIdle(endpoint, "gone", Long.MAX_VALUE);
         if (!endpoint.active) {
             idle.remove(endpoint.id);
@@ -120,7 +126,7 @@
     // -------------------------------------------------- connections
 
     /** The one used last, for the others grow old and are dropped, so that no more stay than are needed. */
-    private PooledConnection idleConnection(Attempt attempt) {
+    private PooledConnection idleConnection(OutboundAttempt attempt) {
         Deque<PooledConnection> free = idle.get(attempt.endpoint.id);
         long now = clock.now();
         boolean repeatable = attempt.exchange.repeatable;
@@ -159,9 +165,9 @@
     // Milliseconds. Of 520 connections closed behind an answer, nine in ten were within 23 ms of it and none later than
     // 26; an attempt written meanwhile may have run. A second answer comes some milliseconds late as well, and an
     // attempt that is out by then would be given it for its own, whether it may be repeated or not.
-    static final int SETTLED = 30;
+    public static final int SETTLED = 30;
 
-    private void connect(Attempt attempt) {
+    private void connect(OutboundAttempt attempt) {
         descriptors.take();
         counters.connects++;
         Endpoint endpoint = attempt.endpoint;
@@ -171,7 +177,7 @@
                     if (up.failed()) {
                         descriptors.giveBack();
                         counters.ended("pooled", "connect-failed", endpoint.name, 0, clock.now() - asked);
-                        settle(attempt, Outcome.NO_CONNECTION);
+                        settle(attempt, AttemptOutcome.NO_CONNECTION);
                         return;
                     }
                     PooledConnection connection =
@@ -186,19 +192,19 @@
      * (the decisions call attempts off only where that is allowed, but of this one nothing is written yet), or the list
      * said that the endpoint drains.
      */
-    private void connected(Attempt attempt, PooledConnection connection, long asked) {
+    private void connected(OutboundAttempt attempt, PooledConnection connection, long asked) {
         if (!connection.endpoint.active) {
             connection.close("gone");
-            settle(attempt, Outcome.NOT_SENT);
+            settle(attempt, AttemptOutcome.NOT_SENT);
         } else if (connection.closed) {
-            settle(attempt, Outcome.NO_CONNECTION);
+            settle(attempt, AttemptOutcome.NO_CONNECTION);
         } else if (attempt.ended) {
             release(connection);
         } else if (!attempt.exchange.wanted()
                 || clock.now() >= attempt.writtenBefore
                 || clock.now() - asked > 20 * connectWithin) {
             // Or the list has grown too old meanwhile, or the loop stood still, which is not the endpoint's doing.
-            settle(attempt, Outcome.NOT_SENT);
+            settle(attempt, AttemptOutcome.NOT_SENT);
             release(connection);
         } else {
             write(attempt, connection);
@@ -219,7 +225,7 @@
         if (connection.attempt != null) {
             brokeAt(connection);
             connection.reason = code;
-            settle(connection.attempt, Outcome.BROKEN);
+            settle(connection.attempt, AttemptOutcome.BROKEN);
         }
     }
 
@@ -282,7 +288,7 @@
 
     // -------------------------------------------------- attempts
 
-    private void write(Attempt attempt, PooledConnection connection) {
+    private void write(OutboundAttempt attempt, PooledConnection connection) {
         attempt.connection = connection;
         attempt.memory = answers.claim();
         counters.sent++;
@@ -291,22 +297,26 @@
     }
 
     @Override
-    public void answered(Attempt attempt) {
+    public void answered(OutboundAttempt attempt) {
         int status = attempt.head.status().code();
         boolean neverRan = (status == 503 || status == 504)
                 && "1".equals(attempt.head.headers().get("X-Never-Ran"));
         PooledConnection connection = attempt.connection;
-        settle(attempt, status == 200 ? Outcome.COMMITTED : neverRan ? Outcome.TURNED_AWAY : Outcome.ERROR);
+        settle(
+                attempt,
+                status == 200
+                        ? AttemptOutcome.COMMITTED
+                        : neverRan ? AttemptOutcome.TURNED_AWAY : AttemptOutcome.ERROR);
         if (!HttpUtil.isKeepAlive(attempt.head)) {
             connection.close("endpoint-closes");
         }
     }
 
     @Override
-    public void spoilt(Attempt attempt, String why) {
+    public void spoilt(OutboundAttempt attempt, String why) {
         if (!attempt.ended) {
             attempt.connection.close(why);
-            settle(attempt, Outcome.BROKEN);
+            settle(attempt, AttemptOutcome.BROKEN);
         }
     }
 
@@ -316,14 +326,14 @@
      * long answers on their way, and such as waited unread while the loop stood still.
      */
     @Override
-    public void unfinished(Attempt attempt) {
+    public void unfinished(OutboundAttempt attempt) {
         attempt.heard = clock.now();
         if (attempt.partTimer < 0) {
             awaitRest(attempt, connectWithin);
         }
     }
 
-    private void awaitRest(Attempt attempt, long span) {
+    private void awaitRest(OutboundAttempt attempt, long span) {
         attempt.partTimer = vertx.setTimer(
                 span,
                 t -> lateness.caughtUp(() -> {
@@ -341,19 +351,21 @@
      * it. While the write is still open this waits one turn for the closed connection to fail it; what is unsure then
      * may have run.
      */
-    private void settle(Attempt attempt, Outcome outcome) {
+    private void settle(OutboundAttempt attempt, AttemptOutcome outcome) {
         if (attempt.ended) {
             return;
         }
         attempt.ended = true;
         vertx.cancelTimer(attempt.timer);
         vertx.cancelTimer(attempt.partTimer);
-        if (attempt.memory != null && outcome != Outcome.COMMITTED) {
+        if (attempt.memory != null && outcome != AttemptOutcome.COMMITTED) {
             attempt.memory.release();
         }
         PooledConnection connection = attempt.connection;
         boolean whole = attempt.written != null && attempt.written.succeeded();
-        boolean answered = outcome == Outcome.COMMITTED || outcome == Outcome.TURNED_AWAY || outcome == Outcome.ERROR;
+        boolean answered = outcome == AttemptOutcome.COMMITTED
+                || outcome == AttemptOutcome.TURNED_AWAY
+                || outcome == AttemptOutcome.ERROR;
         if (connection != null) {
             if (answered && whole) {
                 release(connection);
@@ -367,8 +379,8 @@
                 connection.attempt = null;
             }
         }
-        if (outcome == Outcome.TIMED_OUT
-                || (outcome == Outcome.BROKEN
+        if (outcome == AttemptOutcome.TIMED_OUT
+                || (outcome == AttemptOutcome.BROKEN
                         && attempt.head == null
                         && connection != null
                         && "broken".equals(connection.reason))) {
@@ -384,12 +396,14 @@
         }
     }
 
-    private static Outcome never(Outcome outcome) {
-        return outcome == Outcome.NOT_SENT || outcome == Outcome.CALLED_OFF ? Outcome.NOT_SENT : Outcome.NO_CONNECTION;
+    private static AttemptOutcome never(AttemptOutcome outcome) {
+        return outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.CALLED_OFF
+                ? AttemptOutcome.NOT_SENT
+                : AttemptOutcome.NO_CONNECTION;
     }
 
     /** No more attempts: ends all connections. */
-    void close() {
+    public void close() {
         vertx.cancelTimer(sweeper);
         for (var each : idle) {
             new ArrayList<>(each.value).forEach(connection -> connection.close("ended"));
--- a/sidecar/src/main/java/trestlegrade/sidecar/PooledConnection.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/PooledConnection.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.outbound;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -15,38 +15,40 @@
 import io.vertx.core.internal.buffer.BufferInternal;
 import io.vertx.core.internal.net.NetSocketInternal;
 import jdk.net.ExtendedSocketOptions;
-import trestlegrade.sidecar.Roster.Endpoint;
+import trestlegrade.discovery.EndpointRegistry.Endpoint;
+import trestlegrade.inbound.HeaderRules;
+import trestlegrade.inbound.InboundHttpServer;
 
 /** One connection to an endpoint, which carries one attempt at a time and reads its answer. */
-final class PooledConnection implements Answers.Reader {
+final class PooledConnection implements ResponseReader.Reader {
 
     /** Told how the attempt on a connection fares. */
     interface Owner {
-        void answered(Attempt attempt);
+        void answered(OutboundAttempt attempt);
 
         /** It may have run, and its connection is of no further use. */
-        void spoilt(Attempt attempt, String why);
+        void spoilt(OutboundAttempt attempt, String why);
 
         /** A part of the answer has come. */
-        void unfinished(Attempt attempt);
+        void unfinished(OutboundAttempt attempt);
     }
 
-    final Endpoint endpoint;
-    final long opened;
+    public final Endpoint endpoint;
+    public final long opened;
     private final NetSocketInternal socket;
     private final Owner owner;
     private Buffer body;
     long idleSince;
     /** Whether the loop has looked for bytes some time after the last answer, and found none. */
-    boolean rested;
+    public boolean rested;
 
-    int rests;
-    int carried;
-    Attempt attempt;
+    public int rests;
+    public int carried;
+    public OutboundAttempt attempt;
     /** Why it ends, once this side has decided that; else the endpoint did. */
-    String reason;
+    public String reason;
 
-    boolean closed;
+    public boolean closed;
 
     PooledConnection(Endpoint endpoint, NetSocketInternal socket, long opened, Owner owner) {
         this.endpoint = endpoint;
@@ -55,17 +57,17 @@
         this.owner = owner;
         socket.channelHandlerContext()
                 .pipeline()
-                .addBefore("handler", "answers", new Answers(this))
+                .addBefore("handler", "answers", new ResponseReader(this))
                 .addBefore("handler", "attempts", new HttpRequestEncoder());
         socket.messageHandler(this::read);
         socket.exceptionHandler(e -> {});
     }
 
     /** The future is done with its last byte. */
-    Future<Void> write(Attempt next, long now) {
+    public Future<Void> write(OutboundAttempt next, long now) {
         attempt = next;
         carried++;
-        return socket.writeMessage(Heads.attempt(next.exchange, next.exchange.end - now));
+        return socket.writeMessage(HeaderRules.attempt(next.exchange, next.exchange.end - now));
     }
 
     /**
@@ -93,11 +95,11 @@
             if (part instanceof HttpResponse head) {
                 attempt.head = head;
                 body = Buffer.buffer();
-                if (Heads.length(head.headers().get("Content-Length")) > Front.LONGEST_BODY) {
+                if (HeaderRules.length(head.headers().get("Content-Length")) > InboundHttpServer.LONGEST_BODY) {
                     owner.spoilt(attempt, "oversized");
                 }
             } else if (part instanceof HttpContent content) {
-                if (body.length() + content.content().readableBytes() > Front.LONGEST_BODY) {
+                if (body.length() + content.content().readableBytes() > InboundHttpServer.LONGEST_BODY) {
                     owner.spoilt(attempt, "oversized");
                     return;
                 }
@@ -146,7 +148,7 @@
         socket.closeHandler(v -> then.run());
     }
 
-    void close(String why) {
+    public void close(String why) {
         if (reason == null) {
             reason = why;
             socket.close();
--- a/sidecar/src/main/java/trestlegrade/sidecar/Answers.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ResponseReader.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.outbound;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -17,7 +17,7 @@
  * Reads an endpoint's answers on one connection and takes nothing for an answer that is none: what comes while no
  * attempt is out belongs to nobody, and what cannot be read spoils the answer at its first bytes, not at a time-out.
  */
-final class Answers extends HttpResponseDecoder {
+final class ResponseReader extends HttpResponseDecoder {
 
     /** The side that awaits them. */
     interface Reader {
@@ -43,7 +43,7 @@
     private boolean begun;
     private boolean reset;
 
-    Answers(Reader reader) {
+    ResponseReader(Reader reader) {
         // Fields that cannot be written on are left out later (Heads): they do not spoil the answer.
         super(new HttpDecoderConfig().setValidateHeaders(false));
         this.reader = reader;
--- a/sidecar/src/main/java/trestlegrade/Balance.java
+++ b/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
@@ -1,4 +1,4 @@
-package trestlegrade;
+package trestlegrade.policy;
 
 import com.carrotsearch.hppc.LongIntHashMap;
 import com.carrotsearch.hppc.LongObjectHashMap;
@@ -8,14 +8,27 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import trestlegrade.Tx.Attempt;
+import trestlegrade.policy.endpoint.Endpoint;
+import trestlegrade.policy.endpoint.EndpointUpdate;
+import trestlegrade.policy.estimate.SlidingWindow;
+import trestlegrade.policy.estimate.SlidingWindowSum;
+import trestlegrade.policy.lease.EndpointListLease;
+import trestlegrade.policy.random.SeededRandom;
+import trestlegrade.policy.request.AttemptOutcome;
+import trestlegrade.policy.request.RejectionReason;
+import trestlegrade.policy.request.Transaction;
+import trestlegrade.policy.request.Transaction.Attempt;
+import trestlegrade.policy.retry.DiscoveryBackoff;
+import trestlegrade.policy.selection.HashRing;
+import trestlegrade.policy.selection.KeyShareEstimator;
+import trestlegrade.policy.settings.PolicySettings;
 
 /**
  * All decisions of one sidecar: where each transaction's attempts go, and when it is given up.
  *
  * <p>Called through the public methods below, with times in tenths of a millisecond; what it decides it asks of its
- * {@link Outlet}. Settings come as {@link Terms}, the list of endpoints as {@link Listed} rows, ends of attempts as
- * {@link Outcome}. One instance serves one sidecar and is not thread-safe.
+ * {@link PolicyActions}. Settings come as {@link PolicySettings}, the list of endpoints as {@link EndpointUpdate} rows,
+ * ends of attempts as {@link AttemptOutcome}. One instance serves one sidecar and is not thread-safe.
  *
  * <p>The design: each server has a call tracker and a drop rate; the drop rate shrinks its points on a ring; a pick
  * takes a random ring position and the next point (docs/design.md). Beside the design stand:
@@ -27,39 +40,40 @@
  *   <li>early rollback when the wait already spoils the service goal;
  *   <li>warm keys: where servers remember keys, the ring position comes from the key instead of from chance;
  *   <li>reach: where connections or crossings cost, a window of servers, and the own zone until it is crowded.
- *   <li>lease: while discovery is silent only servers that served lately are picked ({@link ListLease}, rule 3).
+ *   <li>lease: while discovery is silent only servers that served lately are picked ({@link EndpointListLease}, rule
+ *       3).
  * </ol>
  */
-public final class Balance {
+public final class LoadBalancer {
 
     // -------------------------------------------------- what is known of servers and transactions
 
-    private final Terms terms;
-    private final Outlet outlet;
-    private final Chance chance;
-    private final ListLease lease;
+    private final PolicySettings terms;
+    private final PolicyActions outlet;
+    private final SeededRandom chance;
+    private final EndpointListLease lease;
     private final DiscoveryBackoff backoff;
 
     private final LongIntHashMap serverIndex = new LongIntHashMap();
-    private final List<Server> servers = new ArrayList<>();
-    private final LongObjectHashMap<Tx> txById = new LongObjectHashMap<>();
-    private final List<Tx> open = new ArrayList<>();
-    private final List<Tx> waiting = new ArrayList<>();
+    private final List<Endpoint> servers = new ArrayList<>();
+    private final LongObjectHashMap<Transaction> txById = new LongObjectHashMap<>();
+    private final List<Transaction> open = new ArrayList<>();
+    private final List<Transaction> waiting = new ArrayList<>();
 
-    private final Ring ring = new Ring();
+    private final HashRing ring = new HashRing();
     private boolean ringStale;
     private double readyWeight;
     private double steadyWeight;
 
-    public Balance(Terms terms, long seed, Outlet outlet) {
-        this(terms, seed, outlet, ListLease.permanent());
+    public LoadBalancer(PolicySettings terms, long seed, PolicyActions outlet) {
+        this(terms, seed, outlet, EndpointListLease.permanent());
     }
 
-    public Balance(Terms terms, long seed, Outlet outlet, ListLease lease) {
+    public LoadBalancer(PolicySettings terms, long seed, PolicyActions outlet, EndpointListLease lease) {
         this.terms = terms;
         this.lease = lease;
         backoff = new DiscoveryBackoff(terms, seed);
-        this.chance = new Chance(seed);
+        this.chance = new SeededRandom(seed);
         this.outlet = outlet;
         int profiles = terms.profiles().size();
         usual = new double[profiles];
@@ -73,9 +87,9 @@
             usualGoal += (double) terms.profiles().get(i).serviceGoal() / profiles;
         }
         bare = usualAll;
-        customerArrivals = new Buckets[terms.customers().size() + 1];
+        customerArrivals = new SlidingWindowSum[terms.customers().size() + 1];
         for (int i = 0; i < customerArrivals.length; i++) {
-            customerArrivals[i] = new Buckets(50_000, 5);
+            customerArrivals[i] = new SlidingWindowSum(50_000, 5);
         }
         abroad = terms.crossFee() < HOME_FEE ? 1 : 0;
         rankRevenue();
@@ -92,38 +106,38 @@
     }
 
     /** The list, whole or only what changed; {@code old} marks a list kept from an earlier life. */
-    public void listed(long now, List<Listed> rows, boolean whole, boolean old) {
+    public void listed(long now, List<EndpointUpdate> rows, boolean whole, boolean old) {
         if (!old) {
             backoff.succeeded();
         }
         if (whole) {
-            servers.forEach(Server::leave);
+            servers.forEach(Endpoint::leave);
         }
-        for (Listed row : rows) {
+        for (EndpointUpdate row : rows) {
             int index = serverIndex.getOrDefault(row.id(), -1);
             boolean fresh = index < 0;
-            if (row.state() == Listed.State.GONE) {
+            if (row.state() == EndpointUpdate.State.GONE) {
                 if (!fresh) {
                     servers.get(index).leave();
                 }
                 continue;
             }
-            Server server = fresh ? newServer(row.id()) : servers.get(index);
+            Endpoint server = fresh ? newServer(row.id()) : servers.get(index);
             server.gone = false;
             boolean starts = fresh || row.launched() > server.launched;
             if (starts) {
                 server.startAfresh(now, meanDrop(), FIRST_TRIAL);
             }
             while (row.kind() >= kinds.size()) {
-                kinds.add(new Server.Kind());
+                kinds.add(new Endpoint.Kind());
             }
-            server.listed(row, kinds.get(row.kind()), terms.weights() != Terms.Weights.NONE);
+            server.listed(row, kinds.get(row.kind()), terms.weights() != PolicySettings.Weights.NONE);
             if (starts) {
                 // The list tells wall-clock time, and ours may have stepped back: none starts in the future.
                 server.coldSince = Math.min(now, row.launched());
             }
         }
-        if (terms.weights() == Terms.Weights.LIVE) {
+        if (terms.weights() == PolicySettings.Weights.LIVE) {
             servers.forEach(server -> server.shownBusy(now));
         }
         ringStale = true;
@@ -131,9 +145,9 @@
     }
 
     /** In the place of one that has left, if there is one: endpoints come and go all day. */
-    private Server newServer(long id) {
-        int index = Server.vacancy(servers);
-        Server server = new Server(id, index, terms);
+    private Endpoint newServer(long id) {
+        int index = Endpoint.vacancy(servers);
+        Endpoint server = new Endpoint(id, index, terms);
         if (index == servers.size()) {
             servers.add(server);
         } else {
@@ -153,7 +167,7 @@
         // Those that the settings do not name have a place of their own, behind the others.
         int named = terms.customers().size();
         int known = customer >= 0 && customer < named ? customer : named;
-        Tx tx = new Tx(id, profile, known, now, now + patience, cost);
+        Transaction tx = new Transaction(id, profile, known, now, now + patience, cost);
         keyShares.arrived();
         tx.position = terms.warmKeys() && key != 0 ? keyPosition(key) : -1;
         txById.put(id, tx);
@@ -167,14 +181,14 @@
 
     /** The answer has begun to flow to the client: nothing is owed any more. */
     public void streaming(long id, int attempt) {
-        Tx tx = txById.get(id);
+        Transaction tx = txById.get(id);
         if (tx != null) {
             tx.streaming = true;
         }
     }
 
-    public void attemptEnded(long now, long id, int attempt, Outcome outcome, long took, boolean finished) {
-        Tx tx = txById.get(id);
+    public void attemptEnded(long now, long id, int attempt, AttemptOutcome outcome, long took, boolean finished) {
+        Transaction tx = txById.get(id);
         if (tx == null || attempt >= tx.attempts.size() || tx.attempts.get(attempt).outcome != null) {
             return;
         }
@@ -188,14 +202,14 @@
     }
 
     public void clientLeft(long now, long id) {
-        Tx tx = txById.get(id);
+        Transaction tx = txById.get(id);
         if (tx != null) {
             finish(tx);
         }
     }
 
     /** Held until it has its answer and no attempt is out, wherever the last of that happens. */
-    private void forgetIfOver(Tx tx) {
+    private void forgetIfOver(Transaction tx) {
         if (tx.done && tx.out == 0) {
             txById.remove(tx.id);
         }
@@ -241,7 +255,7 @@
     }
 
     /** What is known of a server, or null. */
-    Server server(long id) {
+    public Endpoint server(long id) {
         int index = serverIndex.getOrDefault(id, -1);
         return index < 0 ? null : servers.get(index);
     }
@@ -257,14 +271,14 @@
     /** One stage of the chain every transaction passes, for each attempt anew; ends come back through it. */
     private interface Stage {
         /** Whether it goes on to the next stage. */
-        boolean pass(long now, Tx tx);
+        boolean pass(long now, Transaction tx);
 
-        default void back(long now, Tx tx, Attempt attempt, long took) {}
+        default void back(long now, Transaction tx, Attempt attempt, long took) {}
     }
 
     private final Stage[] chain = {new Leave(), new Early(), new Choose()};
 
-    private void forward(long now, Tx tx, int from) {
+    private void forward(long now, Transaction tx, int from) {
         for (int i = from; i < chain.length; i++) {
             if (!chain[i].pass(now, tx)) {
                 return;
@@ -272,7 +286,7 @@
         }
     }
 
-    private void backward(long now, Tx tx, Attempt attempt, long took) {
+    private void backward(long now, Transaction tx, Attempt attempt, long took) {
         for (int i = chain.length - 1; i >= 0; i--) {
             chain[i].back(now, tx, attempt, took);
         }
@@ -281,35 +295,36 @@
     // -------------------------------------------------- rules 1 and 2: what may still be done
 
     /** Rule 2. Whether the transaction may be sent (again) to this server. */
-    private boolean maySend(long now, Tx tx, Server server) {
+    private boolean maySend(long now, Transaction tx, Endpoint server) {
         if (tx.done || tx.attempts.size() >= terms.maxAttempts() || tx.out > 0) {
             return false;
         }
-        Terms.Profile profile = terms.profiles().get(tx.profile);
+        PolicySettings.Profile profile = terms.profiles().get(tx.profile);
         Attempt first = tx.mayHaveRun();
-        if (first == null || profile.repeat() == Terms.Repeat.IDEMPOTENT) {
+        if (first == null || profile.repeat() == PolicySettings.Repeat.IDEMPOTENT) {
             return true;
         }
-        return profile.repeat() == Terms.Repeat.JOURNALLED
+        return profile.repeat() == PolicySettings.Repeat.JOURNALLED
                 && now - first.sent < profile.window() - WINDOW_MARGIN
-                && (profile.group() == Terms.Group.ALL
-                        || (profile.group() == Terms.Group.ZONE && first.server.zone == server.zone)
-                        || (profile.group() == Terms.Group.CELL && first.server.cell == server.cell));
+                && (profile.group() == PolicySettings.Group.ALL
+                        || (profile.group() == PolicySettings.Group.ZONE && first.server.zone == server.zone)
+                        || (profile.group() == PolicySettings.Group.CELL && first.server.cell == server.cell));
     }
 
     // A resend travels and may wait for a connection: a tenth of a second of the window is left for that.
     private static final long WINDOW_MARGIN = 1_000;
 
     /** Rule 2. Whether the client may be told that trying again is harmless. */
-    private boolean mayRollBack(Tx tx) {
-        Terms.Profile profile = terms.profiles().get(tx.profile);
-        return profile.repeat() == Terms.Repeat.IDEMPOTENT
+    private boolean mayRollBack(Transaction tx) {
+        PolicySettings.Profile profile = terms.profiles().get(tx.profile);
+        return profile.repeat() == PolicySettings.Repeat.IDEMPOTENT
                 || tx.mayHaveRun() == null
-                || (profile.repeat() == Terms.Repeat.JOURNALLED && profile.group() == Terms.Group.ALL);
+                || (profile.repeat() == PolicySettings.Repeat.JOURNALLED
+                        && profile.group() == PolicySettings.Group.ALL);
     }
 
     /** The final answer when nothing more is tried: at once, so that the client can turn elsewhere. */
-    private void giveUp(Tx tx, long pause, Refusal why) {
+    private void giveUp(Transaction tx, long pause, RejectionReason why) {
         if (mayRollBack(tx)) {
             outlet.rollBack(tx.id, terms.pauses() ? Math.min(pause, terms.longestPause()) : 0, why);
         } else {
@@ -319,7 +334,7 @@
     }
 
     /** Marks the transaction as finally answered; attempts still out are of no more use. */
-    private void finish(Tx tx) {
+    private void finish(Transaction tx) {
         if (tx.done) {
             return;
         }
@@ -337,11 +352,11 @@
     /** Rule 1. First in, last back: sees that each transaction is still worth an attempt, or ends it. */
     private final class Leave implements Stage {
         @Override
-        public boolean pass(long now, Tx tx) {
+        public boolean pass(long now, Transaction tx) {
             if (tx.done) {
                 return false;
             }
-            Refusal refusal = refusal(now, tx);
+            RejectionReason refusal = refusal(now, tx);
             if (refusal != null) {
                 giveUp(tx, 0, refusal);
             }
@@ -349,21 +364,21 @@
         }
 
         /** A further attempt only if the time left exceeds the time it is expected to take; null if it is worth one. */
-        private Refusal refusal(long now, Tx tx) {
+        private RejectionReason refusal(long now, Transaction tx) {
             if (now >= tx.end) {
-                return Refusal.DEADLINE;
+                return RejectionReason.DEADLINE;
             }
             if (tx.attempts.isEmpty()) {
                 return null;
             }
             if (tx.end - now <= expected(tx)) {
-                return Refusal.LITTLE_TIME;
+                return RejectionReason.LITTLE_TIME;
             }
-            return attemptTokens >= 1 || !tx.costly() ? null : Refusal.RETRY_BUDGET;
+            return attemptTokens >= 1 || !tx.costly() ? null : RejectionReason.RETRY_BUDGET;
         }
 
         @Override
-        public void back(long now, Tx tx, Attempt attempt, long took) {
+        public void back(long now, Transaction tx, Attempt attempt, long took) {
             if (!tx.done && !tx.streaming) {
                 forward(now, tx, 0);
             }
@@ -379,9 +394,9 @@
     private void lookAfterOpen(long now) {
         int kept = 0;
         for (int i = 0; i < open.size(); i++) {
-            Tx tx = open.get(i);
+            Transaction tx = open.get(i);
             if (!tx.done && !tx.streaming && now >= tx.end) {
-                giveUp(tx, 0, Refusal.DEADLINE);
+                giveUp(tx, 0, RejectionReason.DEADLINE);
             }
             if (!tx.done) {
                 open.set(kept++, tx);
@@ -394,13 +409,13 @@
     }
 
     /** An attempt to a server that was shut out since is called off; its end brings a further one. */
-    private void callOffIfLost(long now, Tx tx) {
+    private void callOffIfLost(long now, Transaction tx) {
         Attempt last = tx.attempts.get(tx.attempts.size() - 1);
         if (last.server.shut
                 && now - last.sent > last.expected
                 && attemptTokens >= 1
                 && terms.cancelling()
-                && terms.profiles().get(tx.profile).repeat() != Terms.Repeat.NON_IDEMPOTENT
+                && terms.profiles().get(tx.profile).repeat() != PolicySettings.Repeat.NON_IDEMPOTENT
                 && tx.attempts.size() < terms.maxAttempts()
                 && tx.end - now > expected(tx)) {
             outlet.callOff(tx.id, tx.attempts.size() - 1);
@@ -412,22 +427,23 @@
     /** Ends transactions at the door when the wait already spoils the service goal (call dropping in D2). */
     private final class Early implements Stage {
         @Override
-        public boolean pass(long now, Tx tx) {
+        public boolean pass(long now, Transaction tx) {
             if (!tx.attempts.isEmpty()) {
                 return true;
             }
             double dropped = callDrop[tx.profile] * (overShare(now, tx) ? 1 + callDrop[tx.profile] : 1);
             if (chance.next() < Math.min(MOST_DROPPED, dropped)) {
-                giveUp(tx, terms.longestPause(), Refusal.OVERLOAD);
+                giveUp(tx, terms.longestPause(), RejectionReason.OVERLOAD);
                 return false;
             }
             return true;
         }
 
         @Override
-        public void back(long now, Tx tx, Attempt attempt, long took) {
-            boolean vainly = attempt.outcome == Outcome.TIMED_OUT || attempt.outcome == Outcome.CALLED_OFF;
-            if ((vainly || attempt.outcome == Outcome.COMMITTED) && steady(now, attempt.server)) {
+        public void back(long now, Transaction tx, Attempt attempt, long took) {
+            boolean vainly =
+                    attempt.outcome == AttemptOutcome.TIMED_OUT || attempt.outcome == AttemptOutcome.CALLED_OFF;
+            if ((vainly || attempt.outcome == AttemptOutcome.COMMITTED) && steady(now, attempt.server)) {
                 (vainly ? vain : commits).add(now, Math.min((double) took, LONGEST_WAIT * attempt.expected));
             }
         }
@@ -477,8 +493,8 @@
         return commits.sum(now, span) + (jammed ? vain.sum(now, span) : 0);
     }
 
-    boolean overShare(long now, Tx tx) {
-        List<Terms.Customer> named = terms.customers();
+    boolean overShare(long now, Transaction tx) {
+        List<PolicySettings.Customer> named = terms.customers();
         double share = tx.customer < named.size() ? named.get(tx.customer).share() : 0;
         return !named.isEmpty() && customerArrivals[tx.customer].total(now) > 1.1 * share * arrivals.total(now);
     }
@@ -498,10 +514,10 @@
 
     private int silentOut;
     private boolean jammed;
-    private final Times commits = new Times(5 * COMMIT_SPAN, 50);
-    private final Times vain = new Times(5 * COMMIT_SPAN, 50);
-    private final Buckets arrivals = new Buckets(50_000, 5);
-    private final Buckets[] customerArrivals;
+    private final SlidingWindow commits = new SlidingWindow(5 * COMMIT_SPAN, 50);
+    private final SlidingWindow vain = new SlidingWindow(5 * COMMIT_SPAN, 50);
+    private final SlidingWindowSum arrivals = new SlidingWindowSum(50_000, 5);
+    private final SlidingWindowSum[] customerArrivals;
     private int openOut;
     private double[] rank;
 
@@ -513,7 +529,7 @@
         int n = terms.profiles().size();
         rank = new double[n];
         double most = terms.profiles().stream()
-                .mapToDouble(Terms.Profile::revenue)
+                .mapToDouble(PolicySettings.Profile::revenue)
                 .max()
                 .orElse(1);
         for (int i = 0; i < n; i++) {
@@ -527,18 +543,18 @@
     /** Last stage: picks a server and sends, or keeps the transaction while no server may take it. */
     private final class Choose implements Stage {
         @Override
-        public boolean pass(long now, Tx tx) {
+        public boolean pass(long now, Transaction tx) {
             boolean first = tx.attempts.isEmpty();
-            Server trial = first && blocked ? null : trialFor(now, tx);
-            Server server = trial != null ? trial : first && blocked ? null : pick(now, tx);
+            Endpoint trial = first && blocked ? null : trialFor(now, tx);
+            Endpoint server = trial != null ? trial : first && blocked ? null : pick(now, tx);
             if (server == null) {
                 blocked |= first;
                 if (!lease.valid(now)) {
-                    giveUp(tx, STALE_PAUSE, Refusal.STALE_LIST);
+                    giveUp(tx, STALE_PAUSE, RejectionReason.STALE_LIST);
                     return false;
                 }
                 if (!tx.attempts.isEmpty() || now - tx.arrived >= waitAtMost(tx)) {
-                    giveUp(tx, 0, Refusal.NO_SERVER);
+                    giveUp(tx, 0, RejectionReason.NO_SERVER);
                     return false;
                 }
                 waiting.add(tx);
@@ -552,7 +568,7 @@
         }
 
         @Override
-        public void back(long now, Tx tx, Attempt attempt, long took) {
+        public void back(long now, Transaction tx, Attempt attempt, long took) {
             track(now, tx, attempt, took);
         }
     }
@@ -561,7 +577,7 @@
     private static final long STALE_PAUSE = 10_000;
 
     /** With no server to send to, a quarter of the service goal is waited: three are left for the work. */
-    private long waitAtMost(Tx tx) {
+    private long waitAtMost(Transaction tx) {
         return Math.min(terms.profiles().get(tx.profile).serviceGoal(), tx.end - tx.arrived) / 4;
     }
 
@@ -570,12 +586,12 @@
 
     private void retryWaiting(long now) {
         blocked = false;
-        List<Tx> again = new ArrayList<>(waiting);
+        List<Transaction> again = new ArrayList<>(waiting);
         waiting.clear();
         again.forEach(tx -> forward(now, tx, 0));
     }
 
-    private void send(long now, Tx tx, Server server, boolean trial) {
+    private void send(long now, Transaction tx, Endpoint server, boolean trial) {
         firstSent = firstSent < 0 ? now : firstSent;
         Attempt attempt = new Attempt(server, now, expected(tx), trial);
         if (server.out == 0) {
@@ -598,7 +614,7 @@
         readyCount = 0;
         homeCount = 0;
         readyWeight = 0;
-        for (Server server : servers) {
+        for (Endpoint server : servers) {
             readyCount += server.used ? 1 : 0;
             homeCount += server.used && server.zone == terms.zone() ? 1 : 0;
             readyWeight += server.used ? server.weight : 0;
@@ -608,8 +624,8 @@
         if (!(mean > 0.8 * meanWeight && mean < 1.25 * meanWeight)) {
             meanWeight = mean;
         }
-        for (Server server : servers) {
-            double points = Math.min(Ring.MOST_POINTS, POINTS * server.weight / meanWeight);
+        for (Endpoint server : servers) {
+            double points = Math.min(HashRing.MOST_POINTS, POINTS * server.weight / meanWeight);
             server.points = server.used ? (int) Math.max(1, Math.round(points)) : 0;
         }
         ring.lay(servers, chance);
@@ -627,11 +643,11 @@
         if (terms.connectionFee() == 0) {
             return;
         }
-        Map<Integer, List<Server>> zones = servers.stream()
+        Map<Integer, List<Endpoint>> zones = servers.stream()
                 .filter(server -> server.ready)
                 .sorted(Comparator.comparingLong(server -> chance.position(server.id, -3)))
                 .collect(Collectors.groupingBy(server -> server.zone));
-        for (List<Server> zone : zones.values()) {
+        for (List<Endpoint> zone : zones.values()) {
             int n = zone.size();
             int first = (int) (terms.number() * GOLDEN % 1 * n);
             double part = CONNECTIONS * n * zones.size() / terms.sidecars();
@@ -655,14 +671,14 @@
     private static final int POINTS = 100;
 
     /** A pick: a ring position, the next point that is not passed over; null when no server may take it. */
-    private Server pick(long now, Tx tx) {
+    private Endpoint pick(long now, Transaction tx) {
         if (ringStale) {
             layRing();
         }
         int n = ring.size();
         int random = (int) (chance.next() * n);
         boolean keyed = tx.position >= 0 && tx.attempts.isEmpty();
-        boolean trusted = terms.profiles().get(tx.profile).repeat() == Terms.Repeat.NON_IDEMPOTENT;
+        boolean trusted = terms.profiles().get(tx.profile).repeat() == PolicySettings.Repeat.NON_IDEMPOTENT;
         boolean athome = abroad < 1 && homeCount > 0 && chance.next() >= abroad;
         double mean = openOut / Math.max(steadyWeight > 0 ? steadyWeight : readyWeight, 1e-9);
         // First with every reason to pass over, then with ever fewer; drains and cold budgets always hold.
@@ -676,7 +692,7 @@
             int asked = 0;
             for (int i = 0; i < n && asked < readyCount; i++) {
                 int place = start + i < n ? start + i : start + i - n;
-                Server server = servers.get(ring.owner(place));
+                Endpoint server = servers.get(ring.owner(place));
                 if (server.refusedPick == picks || ring.ordinal(place) >= server.livePoints()) {
                     continue;
                 }
@@ -724,7 +740,7 @@
     private double meanTold;
 
     /** Warm and not shut out: what the wait and the mean in flight are measured on. */
-    private boolean steady(long now, Server server) {
+    private boolean steady(long now, Endpoint server) {
         return !server.shut && warmth(now, server) >= 1;
     }
 
@@ -742,7 +758,7 @@
 
     // A position takes half of a server's even part, so that chance rarely heaps up more than one part.
     private static final double KEY_PART = 0.5;
-    private final KeyShares keyShares = new KeyShares();
+    private final KeyShareEstimator keyShares = new KeyShareEstimator();
     private int readyCount;
     private int homeCount;
     /** How many sidecars send to a server. */
@@ -751,7 +767,7 @@
     // -------------------------------------------------- rule 4: the cold budget
 
     /** A server's share of its full capacity, at the least; 1 once it is warm. */
-    private double warmth(long now, Server server) {
+    private double warmth(long now, Endpoint server) {
         long age = now - server.coldSince;
         if (server.launched == 0 || age >= terms.coldFor()) {
             return 1;
@@ -760,7 +776,7 @@
     }
 
     /** Whether a server that may be cold can take this: by chance as it warms, and within its budget. */
-    private boolean mayTakeCold(long now, Tx tx, Server server, int strict) {
+    private boolean mayTakeCold(long now, Transaction tx, Endpoint server, int strict) {
         double warmth = warmth(now, server);
         if (warmth >= 1) {
             return true;
@@ -780,7 +796,7 @@
     }
 
     /** What the transaction asks of a server, in the same unit whether servers are crowded or not. */
-    private double cost(Tx tx) {
+    private double cost(Transaction tx) {
         return tx.cost > 0 ? tx.cost : 1_000 * usual[tx.profile] / usualAll;
     }
 
@@ -790,7 +806,7 @@
     private static final double COLD_MARGIN = 0.5;
     private static final long CARRIED_SPAN = 100_000;
     /** Work committed by warm servers, for each unit of their weight at that time. */
-    private final Buckets carried = new Buckets(CARRIED_SPAN, 10);
+    private final SlidingWindowSum carried = new SlidingWindowSum(CARRIED_SPAN, 10);
 
     // -------------------------------------------------- the call tracker and the drop rate
 
@@ -804,23 +820,23 @@
     private double usualAll;
 
     /** How long an attempt of this usually takes, over all servers: its profile's mean, by its cost hint. */
-    private double expected(Tx tx) {
+    private double expected(Transaction tx) {
         boolean hinted = tx.cost > 0 && usualCost[tx.profile] > 0;
         return usual[tx.profile] * (hinted ? 0.3 + 0.7 * tx.cost / usualCost[tx.profile] : 1);
     }
 
-    private void track(long now, Tx tx, Attempt attempt, long took) {
-        Server server = attempt.server;
+    private void track(long now, Transaction tx, Attempt attempt, long took) {
+        Endpoint server = attempt.server;
         server.out--;
         openOut = Math.max(0, openOut - (steady(now, server) ? 1 : 0));
         server.trialsOut -= attempt.trial ? 1 : 0;
-        Outcome outcome = attempt.outcome;
+        AttemptOutcome outcome = attempt.outcome;
         server.tells(now, attempt.sent, outcome);
-        if (outcome == Outcome.CALLED_OFF || outcome == Outcome.NOT_SENT) {
+        if (outcome == AttemptOutcome.CALLED_OFF || outcome == AttemptOutcome.NOT_SENT) {
             return;
         }
-        boolean failed = outcome != Outcome.COMMITTED;
-        boolean silent = outcome == Outcome.TIMED_OUT;
+        boolean failed = outcome != AttemptOutcome.COMMITTED;
+        boolean silent = outcome == AttemptOutcome.TIMED_OUT;
         server.calls.add(now, 1);
         server.ended(now, tx.profile, outcome);
         if (!silent) {
@@ -855,12 +871,12 @@
         if (server.shut) {
             trialEnded(now, server, failed, attempt.trial);
         } else if (failed
-                && ((outcome == Outcome.NO_CONNECTION && server.failedInRow >= 2)
+                && ((outcome == AttemptOutcome.NO_CONNECTION && server.failedInRow >= 2)
                         || server.failedInRow >= FAILING_CALLS
                         || (server.failures.total(now, lately) >= FAILING_CALLS
                                 && server.failures.total(now, lately)
                                         >= FAILING_SHARE * server.calls.total(now, lately)))) {
-            shut(now, server, outcome == Outcome.NO_CONNECTION ? 1 : FAILING_TRIALS);
+            shut(now, server, outcome == AttemptOutcome.NO_CONNECTION ? 1 : FAILING_TRIALS);
         }
     }
 
@@ -875,10 +891,10 @@
             span += GRADE_SPAN;
         }
         gradeSpan = span;
-        kinds.forEach(Server.Kind::clear);
+        kinds.forEach(Endpoint.Kind::clear);
         double slowness = 0;
         double answers = 0;
-        for (Server server : servers) {
+        for (Endpoint server : servers) {
             server.answersNow = server.answers.total(now, span);
             server.slownessNow = server.slowness.total(now, span);
             if (server.used) {
@@ -891,7 +907,7 @@
         double mean = answers == 0 ? 1 : slowness / answers;
         double[] means = new double[readyCount];
         int n = 0;
-        for (Server server : servers) {
+        for (Endpoint server : servers) {
             double kind = (server.kind.slowness + FEW_CALLS * mean) / (server.kind.answers + FEW_CALLS);
             server.mean = (server.slownessNow + FEW_CALLS * kind) / (server.answersNow + FEW_CALLS);
             if (server.used && n < means.length) {
@@ -900,7 +916,7 @@
         }
         Arrays.sort(means, 0, n);
         double median = n == 0 ? 1 : (means[(n - 1) / 2] + means[n / 2]) / 2;
-        for (Server server : servers) {
+        for (Endpoint server : servers) {
             double calls = server.calls.total(now, span);
             boolean slow = server.mean > SLOW * median;
             boolean failing = calls >= FEW_CALLS && server.failures.total(now, span) > 0.1 * calls;
@@ -915,8 +931,8 @@
     private static final long GRADE_SPAN = 50_000;
     private static final long LONGEST_SPAN = 250_000;
     private long gradeSpan = GRADE_SPAN;
-    private final Buckets answered = new Buckets(LONGEST_SPAN, 25);
-    private final List<Server.Kind> kinds = new ArrayList<>();
+    private final SlidingWindowSum answered = new SlidingWindowSum(LONGEST_SPAN, 25);
+    private final List<Endpoint.Kind> kinds = new ArrayList<>();
 
     private static final long GRADE_EVERY = 10_000;
     private static final double GRADE_STEP = 0.05;
@@ -937,7 +953,7 @@
 
     /** Every beat: how unlikely each server's silence is, from attempts out to it since its last answer. */
     private void listen(long now) {
-        for (Server server : heard) {
+        for (Endpoint server : heard) {
             server.silence = 0;
             server.ages = 0;
             server.heardOf = 0;
@@ -945,10 +961,10 @@
         heard.clear();
         // What was usual when an attempt was sent says little once all has become slow.
         double latest = waited(now, COMMIT_SPAN) / Math.max(1, commits.count(now, COMMIT_SPAN));
-        for (Tx tx : open) {
+        for (Transaction tx : open) {
             for (Attempt attempt : tx.attempts) {
                 if (attempt.outcome == null && !tx.streaming) {
-                    Server server = attempt.server;
+                    Endpoint server = attempt.server;
                     if (server.heardOf == 0) {
                         heard.add(server);
                     }
@@ -962,7 +978,7 @@
         openOut = 0;
         silentOut = 0;
         openAges = 0;
-        for (Server server : heard) {
+        for (Endpoint server : heard) {
             if (!server.shut && server.silence > SILENCE) {
                 shut(now, server, 1);
             }
@@ -979,7 +995,7 @@
         steadyWeight = 0;
         shutServers = 0;
         double told = 0;
-        for (Server server : servers) {
+        for (Endpoint server : servers) {
             steadyWeight += server.used && steady(now, server) ? server.weight : 0;
             shutServers += server.shut ? 1 : 0;
             told += server.used ? server.told.at(now) : 0;
@@ -988,7 +1004,7 @@
     }
 
     // Servers with attempts out at the last beat.
-    private final List<Server> heard = new ArrayList<>();
+    private final List<Endpoint> heard = new ArrayList<>();
     private int shutServers;
 
     // From this on, one look in twenty at a healthy server, no non-idempotent transaction is trusted to it.
@@ -1004,9 +1020,9 @@
     private static final long LAST_TRIAL = 80_000;
 
     /** Leaves a server at once, unless that would leave less than a third of the listed weight. */
-    private void shut(long now, Server server, int trials) {
+    private void shut(long now, Endpoint server, int trials) {
         double left = 0;
-        for (Server each : servers) {
+        for (Endpoint each : servers) {
             left += each.used && !each.shut && each != server ? each.weight : 0;
         }
         if (left < readyWeight / 3) {
@@ -1018,7 +1034,7 @@
         weigh(now);
     }
 
-    private void trialEnded(long now, Server server, boolean failed, boolean trial) {
+    private void trialEnded(long now, Endpoint server, boolean failed, boolean trial) {
         if (failed) {
             if (trial) {
                 server.patience = Math.min(LAST_TRIAL, 2 * server.patience);
@@ -1041,14 +1057,14 @@
     private static final double TRIALS = 0.05;
 
     /** A server due for a trial, if this transaction may be repeated when the trial fails. */
-    private Server trialFor(long now, Tx tx) {
+    private Endpoint trialFor(long now, Transaction tx) {
         if (shutServers == 0
                 || !tx.attempts.isEmpty()
                 || chance.next() >= TRIALS
-                || terms.profiles().get(tx.profile).repeat() != Terms.Repeat.IDEMPOTENT) {
+                || terms.profiles().get(tx.profile).repeat() != PolicySettings.Repeat.IDEMPOTENT) {
             return null;
         }
-        for (Server server : servers) {
+        for (Endpoint server : servers) {
             if (server.shut
                     && server.used
                     && server.trialsOut == 0
--- a/sidecar/src/main/java/trestlegrade/Buckets.java
+++ b/sidecar/src/main/java/trestlegrade/policy/estimate/SlidingWindowSum.java
@@ -1,29 +1,29 @@
-package trestlegrade;
+package trestlegrade.policy.estimate;
 
 import java.util.Arrays;
 
 /** Sums over time, in buckets of fixed width used again in a ring. */
-final class Buckets {
+public final class SlidingWindowSum {
     private final long width;
     private final double[] sums;
     private long at;
 
-    Buckets(long span, int count) {
+    public SlidingWindowSum(long span, int count) {
         width = Math.max(1, span / count);
         sums = new double[count];
     }
 
-    void add(long now, double amount) {
+    public void add(long now, double amount) {
         turn(now);
         sums[(int) (at % sums.length)] += amount;
     }
 
-    double total(long now) {
+    public double total(long now) {
         return total(now, width * sums.length);
     }
 
     /** The sum over the latest part of the whole span. */
-    double total(long now, long span) {
+    public double total(long now, long span) {
         turn(now);
         double total = 0;
         for (long b = at, last = at - span / width; b > last; b--) {
@@ -32,7 +32,7 @@
         return total;
     }
 
-    void clear() {
+    public void clear() {
         Arrays.fill(sums, 0);
     }
 
--- a/sidecar/src/main/java/trestlegrade/ListLease.java
+++ b/sidecar/src/main/java/trestlegrade/policy/lease/EndpointListLease.java
@@ -1,4 +1,4 @@
-package trestlegrade;
+package trestlegrade.policy.lease;
 
 /**
  * The lease under which a sidecar sends by the list of servers that it holds. Every word of discovery renews it, and
@@ -12,7 +12,7 @@
  *
  * <p>Times are tenths of a millisecond of a clock that does not step.
  */
-public final class ListLease {
+public final class EndpointListLease {
     /** A change of the list counts as told so long after discovery had it and could be reached, whatever failed. */
     static final long NOTICE = 60_000;
     /** After new settings named another discovery all that it has counts as told so much later. */
@@ -20,7 +20,7 @@
     /** Kept of the grace for draining servers: a process may be held up for half of it before it writes. */
     static final long HELD_UP = 3_000;
     /** Of a server that has served nothing yet. */
-    static final long NEVER = Long.MIN_VALUE / 2;
+    public static final long NEVER = Long.MIN_VALUE / 2;
     /** The part of a short grace that is used all the same. */
     static final int LEAST_PART = 3;
 
@@ -33,14 +33,14 @@
     /**
      * Begins with a list that was confirmed at the time given; a server that drains may be sent to during the grace.
      */
-    public ListLease(long confirmedAt, long grace) {
+    public EndpointListLease(long confirmedAt, long grace) {
         unknownFrom = confirmedAt + NOTICE;
         grace(grace);
     }
 
     /** One that never ends, where lists come without being watched. */
-    public static ListLease permanent() {
-        return new ListLease(Long.MAX_VALUE / 2, 0);
+    public static EndpointListLease permanent() {
+        return new EndpointListLease(Long.MAX_VALUE / 2, 0);
     }
 
     /** New settings for how long a server that drains may be sent to. */
@@ -78,7 +78,7 @@
     }
 
     /** Before when a server must be sent to: what it served last was sent at the time given, or {@link #NEVER}. */
-    long end(long servedAt) {
+    public long end(long servedAt) {
         return Math.max(unknownFrom, servedAt + notice) + Math.max(grace - HELD_UP, grace / LEAST_PART);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/Outcome.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/AttemptOutcome.java
@@ -1,7 +1,7 @@
-package trestlegrade;
+package trestlegrade.policy.request;
 
 /** How an attempt ended, and whether that proves that the endpoint never ran the transaction. */
-public enum Outcome {
+public enum AttemptOutcome {
     COMMITTED(false),
     ERROR(false),
     TURNED_AWAY(true),
@@ -13,7 +13,7 @@
 
     public final boolean neverRan;
 
-    Outcome(boolean neverRan) {
+    AttemptOutcome(boolean neverRan) {
         this.neverRan = neverRan;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/Refusal.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/RejectionReason.java
@@ -1,7 +1,7 @@
-package trestlegrade;
+package trestlegrade.policy.request;
 
 /** Why a transaction is given up: told with its final answer, counted and logged. */
-public enum Refusal {
+public enum RejectionReason {
     /** The list of servers has not been confirmed for too long: any of them may drain. */
     STALE_LIST,
     /** Early rollback: the expected wait spoils the service goal, or the customer is over its share. */
--- a/sidecar/src/main/java/trestlegrade/Tx.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/Transaction.java
@@ -1,20 +1,21 @@
-package trestlegrade;
+package trestlegrade.policy.request;
 
 import java.util.ArrayList;
 import java.util.List;
+import trestlegrade.policy.endpoint.Endpoint;
 
 /** One transaction from its arrival until its last attempt has ended, and what its attempts went through. */
-final class Tx {
+public final class Transaction {
 
     /** One attempt; {@code outcome} is null while it is out. */
-    static final class Attempt {
-        final Server server;
-        final long sent;
-        final double expected;
-        final boolean trial;
-        Outcome outcome;
+    public static final class Attempt {
+        public final Endpoint server;
+        public final long sent;
+        public final double expected;
+        public final boolean trial;
+        public AttemptOutcome outcome;
 
-        Attempt(Server server, long sent, double expected, boolean trial) {
+        public Attempt(Endpoint server, long sent, double expected, boolean trial) {
             this.server = server;
             this.sent = sent;
             this.expected = expected;
@@ -22,21 +23,21 @@
         }
     }
 
-    final long id;
-    final int profile;
-    final int customer;
-    final long arrived;
-    long end;
-    final long cost;
-    final List<Attempt> attempts = new ArrayList<>(3);
+    public final long id;
+    public final int profile;
+    public final int customer;
+    public final long arrived;
+    public long end;
+    public final long cost;
+    public final List<Attempt> attempts = new ArrayList<>(3);
     /** Where on the ring its key lies, or -1. */
-    long position = -1;
+    public long position = -1;
 
-    int out;
-    boolean done;
-    boolean streaming;
+    public int out;
+    public boolean done;
+    public boolean streaming;
 
-    Tx(long id, int profile, int customer, long arrived, long end, long cost) {
+    public Transaction(long id, int profile, int customer, long arrived, long end, long cost) {
         this.id = id;
         this.profile = profile;
         this.customer = customer;
@@ -45,7 +46,7 @@
         this.cost = cost;
     }
 
-    boolean tried(Server server) {
+    public boolean tried(Endpoint server) {
         for (Attempt attempt : attempts) {
             if (attempt.server == server) {
                 return true;
@@ -55,9 +56,9 @@
     }
 
     /** Whether an attempt before reached a server, so that one more adds to the servers' work. */
-    boolean costly() {
+    public boolean costly() {
         for (Attempt attempt : attempts) {
-            if (attempt.outcome != Outcome.NO_CONNECTION && attempt.outcome != Outcome.NOT_SENT) {
+            if (attempt.outcome != AttemptOutcome.NO_CONNECTION && attempt.outcome != AttemptOutcome.NOT_SENT) {
                 return true;
             }
         }
@@ -65,7 +66,7 @@
     }
 
     /** The first attempt that ran or may have run (one still out may run), or null. */
-    Attempt mayHaveRun() {
+    public Attempt mayHaveRun() {
         for (Attempt attempt : attempts) {
             if (attempt.outcome == null || !attempt.outcome.neverRan) {
                 return attempt;
--- a/sidecar/src/main/java/trestlegrade/DiscoveryBackoff.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/DiscoveryBackoff.java
@@ -1,4 +1,7 @@
-package trestlegrade;
+package trestlegrade.policy.retry;
+
+import trestlegrade.policy.random.SeededRandom;
+import trestlegrade.policy.settings.PolicySettings;
 
 /**
  * When a sidecar calls discovery, so that the calls of a whole fleet do not meet. Discovery is one service that takes
@@ -24,13 +27,13 @@
     private static final long LONGEST_RETRY_SPREAD = 27_500;
     private static final long LONGEST_REPLACEMENT_SPREAD = 10_000;
 
-    private final Chance chance;
+    private final SeededRandom chance;
     private final int sidecars;
     private final long longestWait;
     private int failures;
 
-    public DiscoveryBackoff(Terms terms, long seed) {
-        chance = new Chance(seed);
+    public DiscoveryBackoff(PolicySettings terms, long seed) {
+        chance = new SeededRandom(seed);
         sidecars = terms.sidecars();
         longestWait = Math.min(terms.askWithin() / 4, LONGEST_WAIT);
     }
@@ -41,7 +44,7 @@
     }
 
     /** After a call that failed, or a watch that ended: doubled with each in a row, and spread over the fleet. */
-    long afterFailure() {
+    public long afterFailure() {
         long wait = Math.min(FIRST_WAIT << Math.min(failures++, MOST_DOUBLINGS), longestWait);
         double least = wait * (1 - JITTER);
         double most = Math.max(wait * (1 + JITTER), (double) Math.min(LONGEST_RETRY_SPREAD, sidecars * TURN));
@@ -49,7 +52,7 @@
     }
 
     /** Discovery has answered. */
-    void succeeded() {
+    public void succeeded() {
         failures = 0;
     }
 
--- a/sidecar/src/main/java/trestlegrade/KeyShares.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/KeyShareEstimator.java
@@ -1,7 +1,7 @@
-package trestlegrade;
+package trestlegrade.policy.selection;
 
 /** Which part of the latest transactions each key had, as far as they tell. */
-final class KeyShares {
+public final class KeyShareEstimator {
     // Transactions after which a sighting counts half: enough to tell a share of one server in a hundred.
     private static final double MEMORY = 500;
     private static final int SLOTS = 2048;
@@ -11,12 +11,12 @@
     private final long[] at = new long[SLOTS];
     private long arrived;
 
-    void arrived() {
+    public void arrived() {
         arrived++;
     }
 
     /** Counts one more sighting; {@code unknown} transactions of which nothing is known blur the first. */
-    double sighted(long key, long hash, double unknown) {
+    public double sighted(long key, long hash, double unknown) {
         int slot = (int) (hash & SLOTS - 1);
         double before = keyIn[slot] == key ? count[slot] * Math.pow(0.5, (arrived - at[slot]) / MEMORY) : 0;
         keyIn[slot] = key;
--- a/sidecar/src/main/java/trestlegrade/Terms.java
+++ b/sidecar/src/main/java/trestlegrade/policy/settings/PolicySettings.java
@@ -1,4 +1,4 @@
-package trestlegrade;
+package trestlegrade.policy.settings;
 
 import java.util.List;
 
@@ -6,7 +6,7 @@
  * The terms on which one sidecar works, as agreed at its start. Times are tenths of a millisecond. Only what the
  * decisions read is here.
  */
-public record Terms(
+public record PolicySettings(
         List<Profile> profiles,
         List<Customer> customers,
         int sidecars,
@@ -29,8 +29,8 @@
         long fallSpan) {
 
     /** The same in another numbering of zones. */
-    public Terms inZone(int index) {
-        return new Terms(
+    public PolicySettings inZone(int index) {
+        return new PolicySettings(
                 profiles,
                 customers,
                 sidecars,
--- a/sidecar/src/main/java/trestlegrade/sidecar/Lateness.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/EventLoopLag.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.runtime;
 
 import io.vertx.core.Vertx;
 import org.HdrHistogram.Histogram;
@@ -7,13 +7,13 @@
  * How late the event loop runs, in tenths of a millisecond. What is read now may have come so much earlier, and what is
  * due may be done so much later: a transaction's end has to lie before its client's by that.
  */
-final class Lateness {
+public final class EventLoopLag {
     // Short against any wait of a client, and twenty timers a second cost next to nothing.
     private static final long PULSE = 500;
     private static final long SECOND = 10_000;
 
     private final Vertx vertx;
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final Histogram seen;
     private long last;
     /** The worst within one pulse's time; those left out in a stall follow it at once. */
@@ -29,7 +29,7 @@
     private long stallLength;
     private long stallEnd = Long.MIN_VALUE / 2;
 
-    Lateness(Vertx vertx, Clock clock, Histogram seen) {
+    public EventLoopLag(Vertx vertx, MonotonicClock clock, Histogram seen) {
         this.vertx = vertx;
         this.clock = clock;
         this.seen = seen;
@@ -72,7 +72,7 @@
     }
 
     /** The worst of late, halved for each second since, or of the turn under way. */
-    long now() {
+    public long now() {
         long now = clock.now();
         return Math.max(lately(now), now - last - PULSE);
     }
@@ -81,14 +81,14 @@
      * How long what is read now may have waited for the loop: timers that are due may run before it is read. Not told
      * by the worst of late: a second stall within a second, a little shorter, passed for none.
      */
-    long unread() {
+    public long unread() {
         long now = clock.now();
         long recent = Math.max(backlog, now - latestAt < PULSE ? latest : 0);
         return Math.max(now - last - PULSE, recent);
     }
 
     /** How long the loop stood still up to this time, or since then; 0 if it did not. */
-    long stalledAt(long time) {
+    public long stalledAt(long time) {
         return stallEnd + 2 * PULSE >= time ? stallLength : 0;
     }
 
@@ -100,7 +100,7 @@
      * list, a client's end behind its last bytes) may be older than what this would do, and forbid it. The loop reads
      * between two timers that follow each other.
      */
-    void caughtUp(Runnable then) {
+    public void caughtUp(Runnable then) {
         if (unread() <= STALL) {
             then.run();
         } else {
@@ -108,7 +108,7 @@
         }
     }
 
-    void afterReading(Runnable then) {
+    public void afterReading(Runnable then) {
         vertx.setTimer(1, t -> vertx.setTimer(1, u -> then.run()));
     }
 
--- a/sidecar/src/main/java/trestlegrade/sidecar/Clock.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/MonotonicClock.java
@@ -1,10 +1,10 @@
-package trestlegrade.sidecar;
+package trestlegrade.runtime;
 
 /** Time in tenths of a millisecond: Unix time as it stood at the start, counted on without steps. */
-class Clock {
+public class MonotonicClock {
     private final long base = System.currentTimeMillis() * 10 - System.nanoTime() / 100_000;
 
-    long now() {
+    public long now() {
         return base + System.nanoTime() / 100_000;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/sidecar/Desk.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.runtime;
 
 import com.carrotsearch.hppc.LongObjectHashMap;
 import io.vertx.core.Context;
@@ -10,51 +10,57 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.tinylog.Logger;
-import trestlegrade.Balance;
-import trestlegrade.ListLease;
-import trestlegrade.Listed;
-import trestlegrade.Outcome;
-import trestlegrade.Outlet;
-import trestlegrade.Refusal;
-import trestlegrade.Terms;
+import trestlegrade.discovery.EndpointRegistry;
+import trestlegrade.inbound.HeaderRules;
+import trestlegrade.inbound.InboundRequest;
+import trestlegrade.metrics.Counters;
+import trestlegrade.outbound.AttemptSender;
+import trestlegrade.outbound.OutboundAttempt;
+import trestlegrade.policy.LoadBalancer;
+import trestlegrade.policy.PolicyActions;
+import trestlegrade.policy.endpoint.EndpointUpdate;
+import trestlegrade.policy.lease.EndpointListLease;
+import trestlegrade.policy.request.AttemptOutcome;
+import trestlegrade.policy.request.RejectionReason;
+import trestlegrade.policy.settings.PolicySettings;
 
 /**
  * The one task that owns the decisions. Socket code puts what happened into its queue; the task takes that in order,
  * with one time for each turn, and carries out what is decided. A transaction's final answer is given here too, so that
  * nothing can be sent for it afterwards.
  */
-final class Desk {
+public final class PolicyExecutor {
     private final Vertx vertx;
     private final Context context;
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final Counters counters;
-    private final Lateness lateness;
-    private final ListLease lease;
+    private final EventLoopLag lateness;
+    private final EndpointListLease lease;
     private final Queue<Runnable> in = new ConcurrentLinkedQueue<>();
     /** What the list says goes before all else: after a stall a transaction must not go by the old list. */
     private final Queue<Runnable> list = new ConcurrentLinkedQueue<>();
 
     private final AtomicBoolean called = new AtomicBoolean();
-    private final LongObjectHashMap<Exchange> open = new LongObjectHashMap<>();
+    private final LongObjectHashMap<InboundRequest> open = new LongObjectHashMap<>();
     /** The one that takes what arrives, and those before it that have transactions open. */
     private Tenure tenure;
 
     private final List<Tenure> earlier = new ArrayList<>();
-    private Roster roster;
-    private Attempts attempts;
+    private EndpointRegistry roster;
+    private AttemptSender attempts;
     private Runnable watch;
     private long now;
     private long nextId;
 
-    Desk(
+    public PolicyExecutor(
             Vertx vertx,
             Context context,
-            Clock clock,
+            MonotonicClock clock,
             Counters counters,
-            Lateness lateness,
-            Terms terms,
+            EventLoopLag lateness,
+            PolicySettings terms,
             long seed,
-            ListLease lease) {
+            EndpointListLease lease) {
         this.vertx = vertx;
         this.context = context;
         this.clock = clock;
@@ -65,7 +71,7 @@
     }
 
     /** Begins with the list as it was last known; discovery is asked at once. */
-    void start(Roster roster, Attempts attempts, Runnable watch, JsonArray known) {
+    public void start(EndpointRegistry roster, AttemptSender attempts, Runnable watch, JsonArray known) {
         this.roster = roster;
         this.attempts = attempts;
         this.watch = watch;
@@ -81,7 +87,7 @@
      * New terms, for what arrives from now on: decisions of their own, which begin with the list as it stands. What is
      * open ends under the terms that it was taken under, so no rule changes for it on its way.
      */
-    void adopt(Terms terms, long seed, String zone) {
+    public void adopt(PolicySettings terms, long seed, String zone) {
         put(() -> {
             Tenure before = tenure;
             tenure = new Tenure(zone == null ? terms : terms.inZone(roster.zone(zone)), seed);
@@ -95,7 +101,7 @@
 
     // -------------------------------------------------- what has happened
 
-    void arrived(Exchange exchange) {
+    public void arrived(InboundRequest exchange) {
         put(() -> {
             if (!exchange.wanted()) {
                 // Its client left while it waited here, or before it was read.
@@ -119,14 +125,14 @@
         });
     }
 
-    void clientLeft(Exchange exchange) {
+    public void clientLeft(InboundRequest exchange) {
         put(() -> {
             leave(exchange);
             forgetIfOver(exchange);
         });
     }
 
-    private void leave(Exchange exchange) {
+    private void leave(InboundRequest exchange) {
         if (!exchange.over()) {
             exchange.clientLeft(counters);
             if (exchange.tenure != null) {
@@ -135,14 +141,14 @@
         }
     }
 
-    void attemptEnded(Attempt attempt, Outcome outcome) {
+    public void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome) {
         put(() -> {
-            Exchange exchange = attempt.exchange;
+            InboundRequest exchange = attempt.exchange;
             exchange.out--;
             counters.attempt(outcome);
-            if (outcome == Outcome.COMMITTED) {
+            if (outcome == AttemptOutcome.COMMITTED) {
                 exchange.commit(
-                                Heads.onward(
+                                HeaderRules.onward(
                                         attempt.head.headers(),
                                         attempt.head.headers().get("Connection")),
                                 attempt.answer,
@@ -161,20 +167,20 @@
         });
     }
 
-    void listed(JsonArray entries, boolean whole) {
+    public void listed(JsonArray entries, boolean whole) {
         put(list, () -> {
-            List<Listed> rows = roster.take(entries, whole);
+            List<EndpointUpdate> rows = roster.take(entries, whole);
             tenure.balance.listed(now, rows, whole, false);
             earlier.forEach(each -> each.balance.listed(now, rows, whole, false));
         });
     }
 
-    void listFailed() {
+    public void listFailed() {
         put(list, () -> tenure.balance.listFailed(now));
     }
 
     /** All that has been taken has its final answer by then. */
-    void endBy(long end) {
+    public void endBy(long end) {
         put(() -> {
             tenure.balance.endBy(end);
             earlier.forEach(each -> each.balance.endBy(end));
@@ -182,7 +188,7 @@
     }
 
     /** Transactions that still wait for their final answer or have attempts out. */
-    int open() {
+    public int open() {
         return open.size();
     }
 
@@ -201,7 +207,7 @@
      * Called wherever an answer is given or an attempt ends, for either may be the last. Left to those who handle an
      * arrival or an end, all that was given up while it waited stayed here for good, with its body.
      */
-    private void forgetIfOver(Exchange exchange) {
+    private void forgetIfOver(InboundRequest exchange) {
         if (!exchange.over() || exchange.out > 0) {
             return;
         }
@@ -243,18 +249,18 @@
     // -------------------------------------------------- what is decided
 
     /** The decisions under one set of terms, from its start until the last transaction taken under it has ended. */
-    final class Tenure implements Outlet {
-        private final Balance balance;
+    public final class Tenure implements PolicyActions {
+        private final LoadBalancer balance;
         private int taken;
 
-        private Tenure(Terms terms, long seed) {
-            balance = new Balance(terms, seed, this, lease);
+        private Tenure(PolicySettings terms, long seed) {
+            balance = new LoadBalancer(terms, seed, this, lease);
         }
 
         @Override
         public void send(long tx, long endpoint, long timeout, long writtenBefore) {
-            Exchange exchange = open.get(tx);
-            Attempt attempt = new Attempt(
+            InboundRequest exchange = open.get(tx);
+            OutboundAttempt attempt = new OutboundAttempt(
                     exchange, exchange.attempts.size(), roster.endpoint(endpoint), clock.now(), writtenBefore);
             exchange.attempts.add(attempt);
             exchange.out++;
@@ -267,16 +273,16 @@
         }
 
         @Override
-        public void rollBack(long tx, long pause, Refusal why) {
-            Exchange exchange = open.get(tx);
+        public void rollBack(long tx, long pause, RejectionReason why) {
+            InboundRequest exchange = open.get(tx);
             counters.refusals.rolledBack(now, exchange, why);
             exchange.rollBack(pause, counters);
             forgetIfOver(exchange);
         }
 
         @Override
-        public void abandon(long tx, Refusal why) {
-            Exchange exchange = open.get(tx);
+        public void abandon(long tx, RejectionReason why) {
+            InboundRequest exchange = open.get(tx);
             counters.refusals.abandoned(now, exchange, why);
             exchange.abandon(counters);
             forgetIfOver(exchange);
--- a/sidecar/src/main/java/trestlegrade/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.runtime;
 
 import io.vertx.core.Context;
 import io.vertx.core.Future;
@@ -12,40 +12,50 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
-import trestlegrade.ListLease;
+import trestlegrade.config.SidecarConfig;
+import trestlegrade.discovery.DiscoveryClient;
+import trestlegrade.discovery.EndpointRegistry;
+import trestlegrade.inbound.BoundedTransport;
+import trestlegrade.inbound.DescriptorBudget;
+import trestlegrade.inbound.InboundHttpServer;
+import trestlegrade.metrics.AsyncLog;
+import trestlegrade.metrics.Counters;
+import trestlegrade.metrics.HeapMonitor;
+import trestlegrade.outbound.AttemptSender;
+import trestlegrade.policy.lease.EndpointListLease;
 
 /** Puts one sidecar together, starts it, and brings it to its end on SIGTERM. */
 public final class Sidecar {
-    private final Commission commission;
+    private final SidecarConfig commission;
     private final Map<String, String> environment;
-    private final LogLines log = new LogLines();
+    private final AsyncLog log = new AsyncLog();
     private final Counters counters = new Counters(log);
-    private final Descriptors clients;
+    private final DescriptorBudget clients;
     private final BoundedTransport transport;
     private final CountDownLatch ended = new CountDownLatch(1);
     private final CountDownLatch failed = new CountDownLatch(1);
     /** With the settings as they are now. */
-    private Commission inForce;
+    private SidecarConfig inForce;
 
-    private ListLease lease;
-    private Desk desk;
-    private Attempts attempts;
-    private Front front;
-    private Discovery discovery;
+    private EndpointListLease lease;
+    private PolicyExecutor desk;
+    private AttemptSender attempts;
+    private InboundHttpServer front;
+    private DiscoveryClient discovery;
 
-    Sidecar(Commission commission, Map<String, String> environment) {
+    public Sidecar(SidecarConfig commission, Map<String, String> environment) {
         this.commission = commission;
         inForce = commission;
         this.environment = environment;
-        clients = Descriptors.forClients(commission.sockets());
+        clients = DescriptorBudget.forClients(commission.sockets());
         transport = new BoundedTransport(clients, counters.turns, counters::acceptFailed);
     }
 
     /** Serves until told to end; false if it could not begin. */
     public static boolean serve(Map<String, String> environment) {
-        Commission commission;
+        SidecarConfig commission;
         try {
-            commission = Commission.read(environment);
+            commission = SidecarConfig.read(environment);
         } catch (RuntimeException e) {
             System.err.println("serve: " + e.getMessage());
             return false;
@@ -59,7 +69,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             JsonObject file = new JsonObject(MADE_UP).put("listen", "127.0.0.1:" + free.getLocalPort());
             free.close();
-            Sidecar sidecar = new Sidecar(Commission.of(file, Map.of()), Map.of());
+            Sidecar sidecar = new Sidecar(SidecarConfig.of(file, Map.of()), Map.of());
             Vertx vertx = sidecar.vertx();
             Context context = vertx.getOrCreateContext();
             int played = Future.<Integer>future(ready -> context.runOnContext(
@@ -143,15 +153,18 @@
     private static final long STARTED_BEFORE = 10_000;
 
     /** On the context that all of this sidecar runs on. */
-    Future<Integer> start(Vertx vertx, Context context) {
-        Clock clock = new Clock();
+    public Future<Integer> start(Vertx vertx, Context context) {
+        MonotonicClock clock = new MonotonicClock();
         long begun = clock.now();
-        Lateness lateness = new Lateness(vertx, clock, counters.loopLate);
-        lease = new ListLease(begun - STARTED_BEFORE, commission.drainGrace());
-        desk = new Desk(vertx, context, clock, counters, lateness, commission.terms(), commission.seed(), lease);
-        attempts = new Attempts(vertx, clock, counters, lateness, desk::attemptEnded, commission, Attempts.SETTLED);
-        Roster roster = new Roster(commission.zones(), commission.kinds(), attempts::outdated, counters);
-        discovery = new Discovery(
+        EventLoopLag lateness = new EventLoopLag(vertx, clock, counters.loopLate);
+        lease = new EndpointListLease(begun - STARTED_BEFORE, commission.drainGrace());
+        desk = new PolicyExecutor(
+                vertx, context, clock, counters, lateness, commission.terms(), commission.seed(), lease);
+        attempts = new AttemptSender(
+                vertx, clock, counters, lateness, desk::attemptEnded, commission, AttemptSender.SETTLED);
+        EndpointRegistry roster =
+                new EndpointRegistry(commission.zones(), commission.kinds(), attempts::outdated, counters);
+        discovery = new DiscoveryClient(
                 vertx,
                 clock,
                 counters,
@@ -162,7 +175,8 @@
                 lease,
                 commission.seed() + 1);
         discovery.adopt(commission.terms());
-        front = new Front(vertx, context, clock, counters, desk, roster, commission, clients, transport, lateness);
+        front = new InboundHttpServer(
+                vertx, context, clock, counters, desk, roster, commission, clients, transport, lateness);
         gauges(vertx);
         desk.start(roster, attempts, discovery::watch, commission.known());
         return discovery
@@ -173,7 +187,7 @@
                 .compose(up -> {
                     log.add(() -> Logger.info(
                             "serve code=listening name={} listen={}", commission.name(), commission.listen()));
-                    return new Rehearsal(vertx, context, clock, lateness, commission, log).play();
+                    return new WarmUp(vertx, context, clock, lateness, commission, log).play();
                 })
                 .onSuccess(played -> {
                     front.ready();
@@ -194,7 +208,7 @@
         counters.gauge("pooled", attempts::connections);
         counters.gauge("list_version", discovery::version);
         counters.gauge("list_unconfirmed_ms", discovery::age);
-        MemoryWatch.start(vertx, counters);
+        HeapMonitor.start(vertx, counters);
     }
 
     /**
@@ -203,9 +217,9 @@
      * sidecar began with: another value there waits for a restart, named in the log.
      */
     private synchronized void reread(Context context) {
-        Commission told;
+        SidecarConfig told;
         try {
-            told = Commission.read(environment);
+            told = SidecarConfig.read(environment);
         } catch (RuntimeException e) {
             log.add(() -> Logger.warn("reload code=unreadable cause={}", e.getMessage()));
             return;
@@ -221,7 +235,7 @@
     }
 
     /** New settings hold for all that is taken from now on; the old file's bring them back the same way. */
-    private void adopt(Commission told) {
+    private void adopt(SidecarConfig told) {
         if (!told.sameSettings(inForce)) {
             inForce = told;
             attempts.adopt(told);
--- a/sidecar/src/main/java/trestlegrade/sidecar/TimerRoundingIoHandler.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/TimerRoundingIoHandler.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.runtime;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
@@ -6,6 +6,7 @@
 import io.netty.channel.IoHandlerFactory;
 import io.netty.channel.IoRegistration;
 import io.netty.util.concurrent.ThreadAwareExecutor;
+import trestlegrade.metrics.Counters;
 
 /**
  * Netty's reader of sockets, but its loop sleeps until the next timer is due. A selector waits in whole milliseconds,
@@ -14,7 +15,7 @@
  * selector costs more than the clock moves on (each is a trap on the fleet days), a loop whose timers happened to fall
  * so never rested (docs/incidents). Here what is left is rounded up: a timer comes a millisecond late at the most.
  */
-final class TimerRoundingIoHandler implements IoHandler {
+public final class TimerRoundingIoHandler implements IoHandler {
     private static final long MILLISECOND = 1_000_000;
 
     private final IoHandler usual;
@@ -25,7 +26,7 @@
         this.turns = turns;
     }
 
-    static IoHandlerFactory over(IoHandlerFactory usual, Counters.Turns turns) {
+    public static IoHandlerFactory over(IoHandlerFactory usual, Counters.Turns turns) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
--- a/sidecar/src/main/java/trestlegrade/sidecar/Rehearsal.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.runtime;
 
 import io.vertx.core.Context;
 import io.vertx.core.Future;
@@ -9,15 +9,21 @@
 import io.vertx.core.http.HttpHeaders;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
-import trestlegrade.ListLease;
+import trestlegrade.config.SidecarConfig;
+import trestlegrade.discovery.EndpointRegistry;
+import trestlegrade.inbound.InboundRequest;
+import trestlegrade.metrics.AsyncLog;
+import trestlegrade.metrics.Counters;
+import trestlegrade.outbound.AttemptSender;
+import trestlegrade.policy.lease.EndpointListLease;
 
 /**
  * Transactions that a sidecar sends through a desk of their own to itself before it calls itself ready: cold code took
  * milliseconds of processor time for each, and a sidecar with a third of a core never caught up.
  */
-final class Rehearsal implements Exchange.Client {
+public final class WarmUp implements InboundRequest.Client {
     /** Where the front plays the endpoint. */
-    static final String TARGET = "/_rehearsal";
+    public static final String TARGET = "/_rehearsal";
 
     // Looked at in rounds: warm, a transaction passes in a quarter of a millisecond of processor time; cold, in
     // three. Once five hundred pass in a second, or several times a sidecar's part of what is agreed, the rest warms
@@ -32,11 +38,11 @@
     private static final long LONGEST = 60_000;
     private static final int AT_ONCE = 4;
 
-    private final Clock clock;
-    private final Commission commission;
-    private final Desk desk;
-    private final Attempts attempts;
-    private final Roster roster;
+    private final MonotonicClock clock;
+    private final SidecarConfig commission;
+    private final PolicyExecutor desk;
+    private final AttemptSender attempts;
+    private final EndpointRegistry roster;
     private final Buffer body = Buffer.buffer(new byte[500]);
     private final Promise<Integer> done = Promise.promise();
     private final long begun;
@@ -46,11 +52,17 @@
     private int ended;
     private boolean enough;
 
-    Rehearsal(Vertx vertx, Context context, Clock clock, Lateness lateness, Commission commission, LogLines log) {
+    public WarmUp(
+            Vertx vertx,
+            Context context,
+            MonotonicClock clock,
+            EventLoopLag lateness,
+            SidecarConfig commission,
+            AsyncLog log) {
         this.clock = clock;
         this.commission = commission;
         Counters counters = new Counters(log);
-        desk = new Desk(
+        desk = new PolicyExecutor(
                 vertx,
                 context,
                 clock,
@@ -58,22 +70,22 @@
                 lateness,
                 commission.terms(),
                 commission.seed(),
-                ListLease.permanent());
+                EndpointListLease.permanent());
         // This sidecar itself sends nothing behind an answer.
-        attempts = new Attempts(vertx, clock, counters, lateness, desk::attemptEnded, commission, 1);
-        roster = new Roster(commission.zones(), commission.kinds(), attempts::outdated, counters);
+        attempts = new AttemptSender(vertx, clock, counters, lateness, desk::attemptEnded, commission, 1);
+        roster = new EndpointRegistry(commission.zones(), commission.kinds(), attempts::outdated, counters);
         quickRound = quickRound(commission.agreedRate());
         begun = clock.now();
         roundBegun = begun;
     }
 
     /** What a round may take for the code to be warm enough, by this sidecar's part of the agreed rate. */
-    static long quickRound(double agreedRate) {
+    public static long quickRound(double agreedRate) {
         return (long) (10_000 * ROUND / Math.min(QUICK, BUSIEST * agreedRate));
     }
 
     /** How many transactions it took. */
-    Future<Integer> play() {
+    public Future<Integer> play() {
         JsonObject self = new JsonObject()
                 .put("name", "self")
                 .put("address", commission.listen().toString())
@@ -88,7 +100,7 @@
     private void ask() {
         int profile = asked % commission.profiles().size();
         long now = clock.now();
-        desk.arrived(new Exchange(
+        desk.arrived(new InboundRequest(
                 asked++ % 2 == 0 ? "GET" : "POST",
                 TARGET,
                 HttpHeaders.headers(),
--- a/sidecar/src/main/java/trestlegrade/benchlink/MalformedFrame.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/MalformedFrameException.java
@@ -1,12 +1,12 @@
-package trestlegrade.benchlink;
+package trestlegrade.simulator;
 
 import java.io.IOException;
 
 /** What came in is not a frame of the wire. */
-public final class MalformedFrame extends IOException {
+public final class MalformedFrameException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    MalformedFrame(String message) {
+    public MalformedFrameException(String message) {
         super(message);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/benchlink/Link.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package trestlegrade.benchlink;
+package trestlegrade.simulator;
 
 import com.carrotsearch.hppc.IntObjectHashMap;
 import java.io.IOException;
@@ -9,27 +9,27 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import trestlegrade.Balance;
-import trestlegrade.Listed;
-import trestlegrade.Outcome;
-import trestlegrade.TermsReader;
+import trestlegrade.config.PolicySettingsReader;
+import trestlegrade.policy.LoadBalancer;
+import trestlegrade.policy.endpoint.EndpointUpdate;
+import trestlegrade.policy.request.AttemptOutcome;
 
 /** The bench's wire: decodes each batch into calls of the instances' decisions and encodes their results. */
-public final class Link {
+public final class SimulatorAdapter {
     private static final int HEADER = 16;
     private static final int LISTS = 16;
     private static final int ROW = 22;
     /** By the wire's numbers over ten, less one. */
-    private static final Outcome[] OUTCOMES = Outcome.values();
+    private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
     private final InputStream in;
     private final OutputStream out;
-    private final IntObjectHashMap<Balance> instances = new IntObjectHashMap<>();
-    private final List<List<Listed>> lists = new ArrayList<>();
-    private final Reply reply = new Reply();
+    private final IntObjectHashMap<LoadBalancer> instances = new IntObjectHashMap<>();
+    private final List<List<EndpointUpdate>> lists = new ArrayList<>();
+    private final SimulatorReply reply = new SimulatorReply();
     private ByteBuffer batch = ByteBuffer.allocate(1 << 16);
 
-    public Link(InputStream in, OutputStream out) {
+    public SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = in;
         this.out = out;
         for (int i = 0; i < LISTS; i++) {
@@ -53,11 +53,11 @@
             return false;
         }
         if (got < HEADER) {
-            throw new MalformedFrame("input ends inside a header");
+            throw new MalformedFrameException("input ends inside a header");
         }
         int size = batch.getInt(0);
         if (size < 0) {
-            throw new MalformedFrame("a batch of " + Integer.toUnsignedString(size) + " bytes");
+            throw new MalformedFrameException("a batch of " + Integer.toUnsignedString(size) + " bytes");
         }
         if (size > batch.capacity() - HEADER) {
             ByteBuffer larger = ByteBuffer.allocate(Math.addExact(Math.max(size, size / 2 * 3), HEADER));
@@ -65,17 +65,17 @@
             batch = larger;
         }
         if (in.readNBytes(batch.array(), HEADER, size) < size) {
-            throw new MalformedFrame("input ends inside a batch");
+            throw new MalformedFrameException("input ends inside a batch");
         }
         batch.limit(HEADER + size).position(HEADER);
         return true;
     }
 
-    private void answer() throws MalformedFrame {
+    private void answer() throws MalformedFrameException {
         int records = batch.getInt(4);
         double clock = batch.getDouble(8);
         if (!(Math.abs(clock) < 1e15)) {
-            throw new MalformedFrame("a clock of " + clock);
+            throw new MalformedFrameException("a clock of " + clock);
         }
         long now = tenths(clock);
         try {
@@ -83,21 +83,21 @@
                 record(now);
             }
         } catch (BufferUnderflowException e) {
-            throw new MalformedFrame("a record goes past the end of its batch");
+            throw new MalformedFrameException("a record goes past the end of its batch");
         }
         if (batch.hasRemaining()) {
-            throw new MalformedFrame(batch.remaining() + " bytes after the last record");
+            throw new MalformedFrameException(batch.remaining() + " bytes after the last record");
         }
     }
 
-    private void record(long now) throws MalformedFrame {
+    private void record(long now) throws MalformedFrameException {
         int code = batch.getShort();
         if (code == 1100) {
             list();
             return;
         }
         int who = Short.toUnsignedInt(batch.getShort());
-        Balance instance = instances.get(who);
+        LoadBalancer instance = instances.get(who);
         reply.instance(who);
         try {
             switch (code) {
@@ -105,7 +105,8 @@
                     long seed = batch.getLong();
                     String text = new String(bytes(batch.getInt()), StandardCharsets.UTF_8);
                     instances.remove(who);
-                    Balance fresh = new Balance(TermsReader.ofLines(text).terms(), seed, reply);
+                    LoadBalancer fresh =
+                            new LoadBalancer(PolicySettingsReader.ofLines(text).terms(), seed, reply);
                     instances.put(who, fresh);
                     fresh.start(now);
                 }
@@ -141,7 +142,7 @@
                     skip(Short.toUnsignedInt(batch.getShort()));
                 }
                 case 1090 -> instances.remove(who);
-                default -> throw new MalformedFrame("a record of unknown code " + code);
+                default -> throw new MalformedFrameException("a record of unknown code " + code);
             }
         } catch (BufferUnderflowException e) {
             throw e;
@@ -151,7 +152,7 @@
         }
     }
 
-    private void listed(Balance instance, long now) throws MalformedFrame {
+    private void listed(LoadBalancer instance, long now) throws MalformedFrameException {
         skip(4);
         int scope = batch.get();
         int ref = batch.getInt();
@@ -162,17 +163,17 @@
             return;
         }
         if (scope != 1 && scope != 2 && scope != 4) {
-            throw new MalformedFrame("a list of unknown scope " + scope);
+            throw new MalformedFrameException("a list of unknown scope " + scope);
         }
         if (ref < 0 || ref >= LISTS || lists.get(ref) == null) {
-            throw new MalformedFrame("a list of unknown number " + ref);
+            throw new MalformedFrameException("a list of unknown number " + ref);
         }
         if (instance != null) {
             instance.listed(now, lists.get(ref), scope != 4, scope == 1);
         }
     }
 
-    private void arrived(Balance instance, long now) {
+    private void arrived(LoadBalancer instance, long now) {
         long tx = u32();
         int profile = Byte.toUnsignedInt(batch.get());
         int customer = batch.getInt();
@@ -186,7 +187,7 @@
         }
     }
 
-    private void ended(Balance instance, long now) throws MalformedFrame {
+    private void ended(LoadBalancer instance, long now) throws MalformedFrameException {
         long tx = u32();
         int attempt = Byte.toUnsignedInt(batch.get());
         skip(4);
@@ -195,25 +196,25 @@
         boolean finished = batch.get() != 0;
         skip(4 * Byte.toUnsignedInt(batch.get()));
         if (status < 10 || status > 80 || status % 10 != 0) {
-            throw new MalformedFrame("an attempt of unknown outcome " + status);
+            throw new MalformedFrameException("an attempt of unknown outcome " + status);
         }
         if (instance != null) {
             instance.attemptEnded(now, tx, attempt, OUTCOMES[status / 10 - 1], tenths(took), finished);
         }
     }
 
-    private void list() throws MalformedFrame {
+    private void list() throws MalformedFrameException {
         int ref = batch.getInt();
         int count = batch.getInt();
         if (ref < 0 || ref >= LISTS) {
-            throw new MalformedFrame("a list numbered " + ref);
+            throw new MalformedFrameException("a list numbered " + ref);
         }
         if (count < 0 || count > batch.remaining() / ROW) {
             throw new BufferUnderflowException();
         }
-        List<Listed> rows = new ArrayList<>(count);
+        List<EndpointUpdate> rows = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            rows.add(new Listed(
+            rows.add(new EndpointUpdate(
                     u32(),
                     Byte.toUnsignedInt(batch.get()),
                     Short.toUnsignedInt(batch.getShort()),
@@ -225,12 +226,12 @@
         lists.set(ref, rows);
     }
 
-    private static Listed.State state(int code) throws MalformedFrame {
+    private static EndpointUpdate.State state(int code) throws MalformedFrameException {
         return switch (code) {
-            case 0 -> Listed.State.GONE;
-            case 1 -> Listed.State.READY;
-            case 2 -> Listed.State.DRAINING;
-            default -> throw new MalformedFrame("an endpoint in unknown state " + code);
+            case 0 -> EndpointUpdate.State.GONE;
+            case 1 -> EndpointUpdate.State.READY;
+            case 2 -> EndpointUpdate.State.DRAINING;
+            default -> throw new MalformedFrameException("an endpoint in unknown state " + code);
         };
     }
 
@@ -255,7 +256,7 @@
     }
 
     /** Milliseconds of the wire as whole tenths. */
-    static long tenths(double milliseconds) {
+    public static long tenths(double milliseconds) {
         return Math.round(milliseconds * 10);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/benchlink/Reply.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/SimulatorReply.java
@@ -1,25 +1,25 @@
-package trestlegrade.benchlink;
+package trestlegrade.simulator;
 
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import trestlegrade.Outlet;
-import trestlegrade.Refusal;
+import trestlegrade.policy.PolicyActions;
+import trestlegrade.policy.request.RejectionReason;
 
 /** The reply to one batch, written as the instances decide. */
-final class Reply implements Outlet {
+final class SimulatorReply implements PolicyActions {
     private static final int HEADER = 4;
     private static final int LONGEST_TEXT = 1000;
 
     private ByteBuffer bytes = ByteBuffer.allocate(1 << 16);
     private int instance;
 
-    void begin() {
+    public void begin() {
         bytes.clear().position(HEADER);
     }
 
-    void instance(int number) {
+    public void instance(int number) {
         instance = number;
     }
 
@@ -45,12 +45,12 @@
     }
 
     @Override
-    public void rollBack(long tx, long pause, Refusal why) {
+    public void rollBack(long tx, long pause, RejectionReason why) {
         record(1010, 12).putInt((int) tx).putDouble(pause / 10.0);
     }
 
     @Override
-    public void abandon(long tx, Refusal why) {
+    public void abandon(long tx, RejectionReason why) {
         record(1020, 4).putInt((int) tx);
     }
 
--- a/sidecar/src/test/java/trestlegrade/sidecar/ListReaderTest.java
+++ b/sidecar/src/test/java/trestlegrade/discovery/EndpointListParserTest.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class ListReaderTest {
+class EndpointListParserTest {
     private static final List<JsonObject> LINES = List.of(
             new JsonObject()
                     .put("index", 8)
@@ -44,7 +44,7 @@
         }
         for (int length = 1; length < parts.get(0).length + 2; length++) {
             List<JsonObject> told = new ArrayList<>();
-            ListReader reader = new ListReader(told::add);
+            EndpointListParser reader = new EndpointListParser(told::add);
             for (int i = 0; i < parts.size(); i++) {
                 byte[] part = parts.get(i);
                 for (int at = 0; at < part.length; at += length) {
@@ -70,13 +70,13 @@
                 "{\"a\":\"\u0001\"}"
             })
     void whatIsNoObjectThrows(String text) {
-        assertThrows(RuntimeException.class, () -> new ListReader(told -> {}).read(Buffer.buffer(text)));
+        assertThrows(RuntimeException.class, () -> new EndpointListParser(told -> {}).read(Buffer.buffer(text)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{\"a\":\"", "{\"a\":[", "{", "{\"a\":1,"})
     void anObjectWithoutAnEndIsNotHeldForEver(String start) {
-        ListReader reader = new ListReader(told -> {});
+        EndpointListParser reader = new EndpointListParser(told -> {});
         String more = start.contains("\"a\":\"") ? "x" : start.contains("[") ? "1," : " ";
         reader.read(Buffer.buffer(start));
         assertThrows(RuntimeException.class, () -> {
--- a/sidecar/src/test/java/trestlegrade/sidecar/RosterTest.java
+++ b/sidecar/src/test/java/trestlegrade/discovery/EndpointRegistryTest.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,17 +6,20 @@
 import io.vertx.core.json.JsonObject;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import trestlegrade.Listed;
+import trestlegrade.metrics.AsyncLog;
+import trestlegrade.metrics.Counters;
+import trestlegrade.policy.endpoint.EndpointUpdate;
 
 /** Endpoints as the list tells of them, without sockets. */
-class RosterTest {
+class EndpointRegistryTest {
 
     /**
      * Two zones taken for one would let a journalled transaction go to endpoints that do not know of its first attempt.
      */
     @Test
     void aThousandZonesAndKindsStayApart() {
-        Roster roster = new Roster(List.of("z0"), List.of(), endpoint -> {}, new Counters(new LogLines()));
+        EndpointRegistry roster =
+                new EndpointRegistry(List.of("z0"), List.of(), endpoint -> {}, new Counters(new AsyncLog()));
         JsonArray entries = new JsonArray();
         for (int i = 0; i < 1_024; i++) {
             entries.add(new JsonObject()
@@ -27,10 +30,10 @@
                     .put("group", i)
                     .put("status", "active"));
         }
-        List<Listed> rows = roster.take(entries, true);
+        List<EndpointUpdate> rows = roster.take(entries, true);
         assertEquals(1_024, rows.size());
-        assertEquals(1_024, rows.stream().map(Listed::zone).distinct().count());
-        assertEquals(1_024, rows.stream().map(Listed::kind).distinct().count());
-        assertEquals(1_024, rows.stream().map(Listed::id).distinct().count());
+        assertEquals(1_024, rows.stream().map(EndpointUpdate::zone).distinct().count());
+        assertEquals(1_024, rows.stream().map(EndpointUpdate::kind).distinct().count());
+        assertEquals(1_024, rows.stream().map(EndpointUpdate::id).distinct().count());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/sidecar/BoundedTransportTest.java
+++ b/sidecar/src/test/java/trestlegrade/inbound/BoundedTransportTest.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.inbound;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,6 +19,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import trestlegrade.integration.Loopback;
+import trestlegrade.metrics.Counters;
+import trestlegrade.runtime.MonotonicClock;
 
 /** The listener on a loop of the test's own, so that what meets there comes in the order that the test gives. */
 @Timeout(20)
@@ -35,7 +38,7 @@
     @SuppressWarnings("try") // To close the client is what is tested.
     @Test
     void whoWaitsIsLetInWhenADescriptorComesFreeBetweenTheLastLooks() throws Exception {
-        Descriptors descriptors = Descriptors.forClients(64);
+        DescriptorBudget descriptors = DescriptorBudget.forClients(64);
         for (int i = 0; i < descriptors.most(); i++) {
             descriptors.take();
         }
@@ -70,7 +73,7 @@
                         },
                         1,
                         TimeUnit.MILLISECONDS);
-                Clock clock = new Clock();
+                MonotonicClock clock = new MonotonicClock();
                 transport.shut(clock, clock.now() + 50_000, ended::countDown);
                 loop.execute(BoundedTransportTest::stall);
             });
@@ -86,7 +89,7 @@
     /** The one that waited last took the last descriptor. Who comes long after that, and finds room, has not waited. */
     @Test
     void whoFindsRoomHasNotWaitedHoweverLongAgoOthersDid() throws Exception {
-        Descriptors descriptors = Descriptors.forClients(64);
+        DescriptorBudget descriptors = DescriptorBudget.forClients(64);
         for (int i = 0; i < descriptors.most(); i++) {
             descriptors.take();
         }
--- a/sidecar/src/test/java/trestlegrade/sidecar/BodyMemoryIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/BodyMemoryBudgetIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,14 +11,15 @@
 import java.util.concurrent.Future;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.parallel.Isolated;
+import trestlegrade.inbound.InboundHttpServer;
 
 /** More bodies at once than the heap can hold: each request has its answer, and what is refused was not forwarded. */
 @Isolated("holds some hundred threads and connections")
-class BodyMemoryIT extends Loopback {
+class BodyMemoryBudgetIT extends Loopback {
     private static final int CLIENTS = 480;
 
     private static String posted(int id) {
-        String body = "x".repeat(Front.LONGEST_BODY);
+        String body = "x".repeat(InboundHttpServer.LONGEST_BODY);
         return "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + id
                 + "\r\nX-Expires-In: 39000m\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
@@ -28,7 +29,7 @@
         Gate gate = new Gate();
         Stub endpoint = endpoint(r -> {
             gate.pass();
-            return answer(200, "", "y".repeat(Front.LONGEST_BODY));
+            return answer(200, "", "y".repeat(InboundHttpServer.LONGEST_BODY));
         });
         patient();
         // Neither long waits, slow connects nor a lack of descriptors refuse any: the memory alone is asked for here.
--- a/sidecar/src/test/java/trestlegrade/sidecar/ClientsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,9 +19,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import trestlegrade.inbound.DescriptorBudget;
+import trestlegrade.inbound.HeaderRules;
+import trestlegrade.inbound.InboundHttpServer;
 
 /** Clients that write slowly, and such as send more than is read when their answer ends the connection. */
-class ClientsIT extends Loopback {
+class ClientConnectionsIT extends Loopback {
 
     /**
      * Its connection has stood idle for nearly as long as it may; the process stands still, and when it goes on the end
@@ -81,7 +84,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void oneThatReadsItsAnswersLate(boolean ends) throws Exception {
-        String body = "x".repeat(Front.LONGEST_BODY);
+        String body = "x".repeat(InboundHttpServer.LONGEST_BODY);
         endpoint(r -> answer(200, "", body));
         patient();
         serve();
@@ -116,7 +119,7 @@
     /** It has longer than any transaction may wait, and no more than that. */
     @Test
     void oneThatNeverReadsItsAnswersIsEnded() throws Exception {
-        String body = "x".repeat(Front.LONGEST_BODY);
+        String body = "x".repeat(InboundHttpServer.LONGEST_BODY);
         endpoint(r -> answer(200, "", body));
         serve();
         try (Socket socket = new Socket()) {
@@ -133,7 +136,7 @@
     /** They send on and read nothing: what is held for them has a bound, and others are served. */
     @Test
     void thoseThatReadNothing() throws Exception {
-        String body = "x".repeat(Front.LONGEST_BODY);
+        String body = "x".repeat(InboundHttpServer.LONGEST_BODY);
         endpoint(r -> answer(200, "", header(r, "X-Trace-Id").startsWith("t") ? body : "good"));
         patient();
         serve();
@@ -238,7 +241,7 @@
         sockets = 64;
         patient();
         serve();
-        for (int i = 0; i < Descriptors.forClients(sockets).most() / 2; i++) {
+        for (int i = 0; i < DescriptorBudget.forClients(sockets).most() / 2; i++) {
             client().ask(transaction("quote", "crowd" + i, 9_000));
         }
         for (int i = 0; i < 12; i++) {
@@ -367,7 +370,7 @@
         }
         String got = next.read();
         if (got.startsWith("HTTP/1.1 200 ")) {
-            long told = Heads.patience(header(endpoint.seen.get(0), "X-Expires-In")) / 10;
+            long told = HeaderRules.patience(header(endpoint.seen.get(0), "X-Expires-In")) / 10;
             long left = 2_900 - (seenAt[0] - asked) / 1_000_000;
             assertTrue(told <= left + 150, "told " + told + " ms with " + left + " ms left");
         } else {
--- a/sidecar/src/test/java/trestlegrade/sidecar/GoneClientIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,12 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import trestlegrade.inbound.DescriptorBudget;
 
 /**
  * A client leaves while its transaction waits: in each place where one can wait nothing is written for it from then on,
  * whether the settings allow to call attempts off or not. The client's end is known before the wait ends, in each test.
  */
-class GoneClientIT extends Loopback {
+class ClientDisconnectIT extends Loopback {
 
     private void terms(boolean cancelling) {
         settings().getJsonObject("ceilings").put("cancelling", cancelling).put("dial_timeout", 8_000);
@@ -185,7 +186,7 @@
         for (int round = 0; round < 3; round++) {
             String trace = "t" + round;
             List<Client> holding = new ArrayList<>();
-            for (int i = 0; i < Descriptors.forClients(sockets).most(); i++) {
+            for (int i = 0; i < DescriptorBudget.forClients(sockets).most(); i++) {
                 holding.add(client());
             }
             List<Client> queue = new ArrayList<>();
--- a/sidecar/src/test/java/trestlegrade/sidecar/ForgottenIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/CompletedTransactionsIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,6 +12,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import trestlegrade.inbound.InboundHttpServer;
 
 /**
  * Seen: processes ended by themselves with exit status 3, 19 to 30 s after their start and some seconds after all
@@ -20,7 +21,7 @@
  * not where a transaction ends. Proved by the runtime's last line (Java heap space) and by the classes on the heap:
  * 33,880 transactions held after 33,880 refusals.
  */
-class ForgottenIT extends Loopback {
+class CompletedTransactionsIT extends Loopback {
     // With bodies of 64 KiB more than the heap holds.
     private static final int MANY = 1_600;
 
@@ -33,7 +34,7 @@
     }
 
     private static String posted(String trace) {
-        String body = "x".repeat(Front.LONGEST_BODY);
+        String body = "x".repeat(InboundHttpServer.LONGEST_BODY);
         return "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + trace
                 + "\r\nX-Expires-In: 900m\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
--- a/sidecar/src/test/java/trestlegrade/sidecar/ListsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointListIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The list of endpoints and its watch: what is cut, unusable, quiet or ends meets what is being sent. */
-class ListsIT extends Loopback {
+class EndpointListIT extends Loopback {
     private final Stub[] at = {endpoint(r -> answer(200, "", "good")), endpoint(r -> answer(200, "", "good"))};
 
     /** What a watch brings, and when, is each test's own. */
--- a/sidecar/src/test/java/trestlegrade/sidecar/EndsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,9 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import trestlegrade.inbound.DescriptorBudget;
 
 /** The end of the program and new settings meet what is being taken, read and answered. */
-class EndsIT extends Loopback {
+class GracefulShutdownIT extends Loopback {
     private final Stub endpoint = endpoint(r -> answer(200, "", "good"));
 
     private static JsonObject limits(JsonObject settings, long limit, long goal) {
@@ -127,7 +128,7 @@
         sockets = 64;
         limits(settings(), 1_000, 400);
         serve();
-        for (int i = 0; i < Descriptors.forClients(sockets).most(); i++) {
+        for (int i = 0; i < DescriptorBudget.forClients(sockets).most(); i++) {
             client();
         }
         List<Client> queue = new ArrayList<>();
