--- a/sidecar/src/test/java/trestlegrade/sidecar/Loopback.java
+++ b/sidecar/src/test/java/trestlegrade/integration/Loopback.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -42,7 +42,7 @@
  */
 @Timeout(60)
 @Execution(ExecutionMode.CONCURRENT)
-abstract class Loopback {
+public abstract class Loopback {
     static final String HANG = "";
     static final String CLOSE = null;
 
@@ -50,13 +50,13 @@
     Path dir;
 
     final List<AutoCloseable> opened = new ArrayList<>();
-    final Stub discovery = new Stub(r -> HANG);
-    final List<Stub> endpoints = new ArrayList<>();
-    Process process;
-    int port;
+    public final Stub discovery = new Stub(r -> HANG);
+    public final List<Stub> endpoints = new ArrayList<>();
+    public Process process;
+    public int port;
 
     @AfterEach
-    void end() throws Exception {
+    public void end() throws Exception {
         if (process != null) {
             process.destroyForcibly().waitFor();
         }
@@ -68,30 +68,30 @@
 
     // -------------------------------------------------- the program under test
 
-    JsonArray known;
+    public JsonArray known;
     ProcessBuilder.Redirect output;
-    int sockets = 1024;
-    JsonObject settings;
+    public int sockets = 1024;
+    public JsonObject settings;
     boolean verbose;
     /** Whether the system holds the process to {@code sockets}, as the operators do. */
     boolean descriptorsBounded;
     /** Further variables of the process. */
     final Map<String, String> environment = new HashMap<>();
 
-    void serve() throws Exception {
+    public void serve() throws Exception {
         start();
         within(10_000, () -> health() == 200);
     }
 
-    void start() throws Exception {
+    public void start() throws Exception {
         start(configuration().encode());
     }
 
-    void start(String file) throws Exception {
+    public void start(String file) throws Exception {
         process = start(file, dir.resolve("config.json"), dir.resolve("log"));
     }
 
-    Process start(String file, Path config, Path log) throws Exception {
+    public Process start(String file, Path config, Path log) throws Exception {
         Files.writeString(config, file);
         List<String> command = new ArrayList<>();
         if (descriptorsBounded) {
@@ -137,7 +137,7 @@
                 .put("settings", settings());
     }
 
-    JsonObject settings() {
+    public JsonObject settings() {
         if (settings == null) {
             settings = new JsonObject("""
                 {"azs":["a","b"],"flavors":["m1"],"membership_mode":"on_request","n_instances":3,"weights":"off",
@@ -173,7 +173,7 @@
                 .put("since_ms", 0);
     }
 
-    static String list(int version, boolean whole, JsonObject... entries) {
+    public static String list(int version, boolean whole, JsonObject... entries) {
         return new JsonObject()
                 .put("index", version)
                 .put("snapshot", whole)
@@ -181,14 +181,14 @@
                 .encode();
     }
 
-    Stub endpoint(Function<String, String> answers) {
+    public Stub endpoint(Function<String, String> answers) {
         Stub stub = new Stub(answers);
         endpoints.add(stub);
         opened.add(stub);
         return stub;
     }
 
-    Client client() throws IOException {
+    public Client client() throws IOException {
         Client client = new Client(port);
         opened.add(client);
         return client;
@@ -216,13 +216,13 @@
         }
     }
 
-    static String transaction(String profile, String trace, int wait) {
+    public static String transaction(String profile, String trace, int wait) {
         return (profile.equals("quote") ? "GET" : "POST") + " /" + profile + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: "
                 + trace + "\r\nX-Qos: " + profile + "\r\nX-Expires-In: " + wait + "m\r\n"
                 + (profile.equals("quote") ? "\r\n" : "Content-Length: 2\r\n\r\nok");
     }
 
-    static String answer(int status, String headers, String body) {
+    public static String answer(int status, String headers, String body) {
         return "HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -236,11 +236,11 @@
     }
 
     /** Where how soon is not the point: a machine busy with other work takes what it takes. */
-    static void eventually(BooleanSupplier condition) {
+    public static void eventually(BooleanSupplier condition) {
         within(20_000, condition);
     }
 
-    static void within(long milliseconds, BooleanSupplier condition) {
+    public static void within(long milliseconds, BooleanSupplier condition) {
         Stopwatch watch = new Stopwatch();
         while (!condition.getAsBoolean()) {
             assertTrue(watch.milliseconds() < milliseconds, "not within " + milliseconds + " ms");
@@ -267,7 +267,7 @@
         }
     }
 
-    static void pause(long milliseconds) {
+    public static void pause(long milliseconds) {
         try {
             Thread.sleep(milliseconds);
         } catch (InterruptedException e) {
@@ -300,7 +300,7 @@
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        String ask(String text) throws IOException {
+        public String ask(String text) throws IOException {
             write(text);
             return read();
         }
@@ -317,12 +317,12 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        String read() throws IOException {
+        public String read() throws IOException {
             return message(in);
         }
 
         /** Closes, or resets what is still on its way. */
-        void leave(boolean reset) throws IOException {
+        public void leave(boolean reset) throws IOException {
             if (reset) {
                 socket.setSoLinger(true, 0);
             }
@@ -339,7 +339,7 @@
     static final class Gate {
         private final CountDownLatch open = new CountDownLatch(1);
 
-        void pass() {
+        public void pass() {
             try {
                 assertTrue(open.await(30, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
@@ -347,7 +347,7 @@
             }
         }
 
-        void open() {
+        public void open() {
             open.countDown();
         }
     }
@@ -357,15 +357,15 @@
      * hold back what it writes behind an answer until that is acknowledged (no TCP_NODELAY).
      */
     static final class Stub implements AutoCloseable {
-        final List<String> seen = new CopyOnWriteArrayList<>();
-        final List<Socket> ended = new CopyOnWriteArrayList<>();
+        public final List<String> seen = new CopyOnWriteArrayList<>();
+        public final List<Socket> ended = new CopyOnWriteArrayList<>();
         private final List<Socket> sockets = new CopyOnWriteArrayList<>();
         private final ServerSocket listener;
-        volatile Function<String, String> answers;
+        public volatile Function<String, String> answers;
         /** Sent right behind each answer in a write of its own, or the end of the connection. */
         volatile String afterwards = HANG;
 
-        final AtomicInteger connections = new AtomicInteger();
+        public final AtomicInteger connections = new AtomicInteger();
         /** Milliseconds behind each answer after which it is sent once more; 0 for never. */
         volatile int straysAfter;
         /**
@@ -442,7 +442,7 @@
         }
 
         /** One line to the latest watch. */
-        void line(String text) throws IOException {
+        public void line(String text) throws IOException {
             write(sockets.size() - 1, text + "\n");
         }
 
@@ -472,16 +472,16 @@
         private static final long BEAT_MS = 500;
 
         /** Bytes as they are, on the connection that came last. */
-        void send(String text) throws IOException {
+        public void send(String text) throws IOException {
             send(sockets.size() - 1, text);
         }
 
-        void send(int connection, String text) throws IOException {
+        public void send(int connection, String text) throws IOException {
             sockets.get(connection).getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
         /** Ends a connection, at once with all that is on its way or with a reset behind it. */
-        void end(int connection, boolean reset) throws IOException {
+        public void end(int connection, boolean reset) throws IOException {
             sockets.get(connection).setSoLinger(reset, 0);
             sockets.get(connection).close();
         }
@@ -492,7 +492,7 @@
             }
         }
 
-        int port() {
+        public int port() {
             return listener.getLocalPort();
         }
 
@@ -522,7 +522,7 @@
     // -------------------------------------------------- signals and the log
 
     /** Threads stop one by one after the signal: what is written before the last has may still be read. */
-    boolean stopped() {
+    public boolean stopped() {
         try (Stream<Path> tasks = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             return tasks.allMatch(task -> state(task) == 'T');
         } catch (IOException e) {
@@ -530,7 +530,7 @@
         }
     }
 
-    static char state(Path task) {
+    public static char state(Path task) {
         try {
             String stat = Files.readString(task.resolve("stat"));
             return stat.charAt(stat.lastIndexOf(')') + 2);
@@ -547,7 +547,7 @@
                         .waitFor());
     }
 
-    String log() {
+    public String log() {
         try {
             return Files.readString(dir.resolve("log"));
         } catch (IOException e) {
--- a/sidecar/src/test/java/trestlegrade/sidecar/SettingsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/PolicySettingsIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Settings that no deployment of today has. */
-class SettingsIT extends Loopback {
+class PolicySettingsIT extends Loopback {
 
     private static String bytes(String text) {
         return new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
--- a/sidecar/src/test/java/trestlegrade/sidecar/PooledConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/PooledConnectionsIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/sidecar/src/test/java/trestlegrade/sidecar/AnswersIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ResponseReaderIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** An endpoint's answer that its connection ends, or that comes in parts: only a whole one is committed. */
-class AnswersIT extends Loopback {
+class ResponseReaderIT extends Loopback {
     private static final String NO_LENGTH = "HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\n";
 
     private Stub endpoint;
--- a/sidecar/src/test/java/trestlegrade/sidecar/SizesIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ScaleIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -31,7 +31,7 @@
 
 /** As many endpoints and zones as the operators may list, with as many connections as the settings allow. */
 @Isolated("takes all cores for some seconds, and others time what they see")
-class SizesIT extends Loopback {
+class ScaleIT extends Loopback {
     private static final int MANY = 1_024;
     private static final int LIMIT_MB = 192;
 
--- a/sidecar/src/test/java/trestlegrade/sidecar/ServeIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ServeIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -26,6 +26,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import trestlegrade.inbound.DescriptorBudget;
+import trestlegrade.runtime.WarmUp;
 
 /** Starts the built program and speaks to it over loopback sockets, as client, endpoints and discovery. */
 class ServeIT extends Loopback {
@@ -102,7 +104,7 @@
     @ParameterizedTest
     @CsvSource({"Infinity, 1000", "500, 1000", "62.5, 1000", "8, 7812", "1, 62500"})
     void theRehearsalLastsUntilItKeepsUpWithWhatIsAgreed(double agreedRate, long round) {
-        assertEquals(round, Rehearsal.quickRound(agreedRate));
+        assertEquals(round, WarmUp.quickRound(agreedRate));
     }
 
     /** One bad endpoint beside a good one; what the client gets, and whether the bad one's attempts may be repeated. */
@@ -398,11 +400,11 @@
                 .put("service_goal", 40_000);
         Stub endpoint = endpoint(r -> HANG);
         serve();
-        int room = Descriptors.forClients(sockets).most();
+        int room = DescriptorBudget.forClients(sockets).most();
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < room; i++) {
             clients.add(client());
-            if (i < Descriptors.forAttempts(sockets).most()) {
+            if (i < DescriptorBudget.forAttempts(sockets).most()) {
                 clients.get(i).write(transaction("quote", "t" + i, 30_000));
                 eventually(() -> endpoint.seen.size() == clients.size());
             }
--- a/sidecar/src/test/java/trestlegrade/sidecar/StaleListIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StaleEndpointListIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,7 +21,7 @@
  * shorter back-off only moved the odds. Proved by the replay (the watch lines of the log have refusals alone, no line
  * of a list came) and by the discovery below, which refuses every call: the program went on for ever.
  */
-class StaleListIT extends Loopback {
+class StaleEndpointListIT extends Loopback {
     /** A change counts as told so long after discovery had it, whatever failed. */
     private static final long TOLD_MS = 6_000;
 
@@ -133,7 +133,7 @@
     @ValueSource(strings = {"new", "ended", "silent"})
     void discoveryTurnsEveryCallAway(String watch) throws Exception {
         if (watch.equals("new")) {
-            discovery.answers = StaleListIT::refuseInTurn;
+            discovery.answers = StaleEndpointListIT::refuseInTurn;
         }
         long started = millis();
         serve();
@@ -141,7 +141,7 @@
         if (!watch.equals("new")) {
             discovery.line(list(8, false));
             last = millis();
-            discovery.answers = StaleListIT::refuseInTurn;
+            discovery.answers = StaleEndpointListIT::refuseInTurn;
         }
         if (watch.equals("ended")) {
             discovery.end(0, false);
@@ -157,7 +157,7 @@
     /** One drains unheard of, and the other goes on being sent to for as long as it serves. */
     @Test
     void whatServesIsSentToWithoutDiscovery() throws Exception {
-        discovery.answers = StaleListIT::refuseInTurn;
+        discovery.answers = StaleEndpointListIT::refuseInTurn;
         long started = millis();
         serve();
         send();
@@ -184,7 +184,7 @@
         pause(500);
         assertTrue(reached.size() > before, "served through the outage");
         drain();
-        Stub back = new Stub(StaleListIT::refuseInTurn, place);
+        Stub back = new Stub(StaleEndpointListIT::refuseInTurn, place);
         back.beats = false;
         opened.add(back);
         stopsBy(millis() + TOLD_MS + GRACE_MS);
@@ -196,7 +196,7 @@
     void discoveryMovedToAPlaceThatTurnsEveryCallAway() throws Exception {
         serve();
         discovery.line(list(8, false));
-        Stub elsewhere = new Stub(StaleListIT::refuseInTurn);
+        Stub elsewhere = new Stub(StaleEndpointListIT::refuseInTurn);
         elsewhere.beats = false;
         opened.add(elsewhere);
         send();
--- a/sidecar/src/test/java/trestlegrade/sidecar/StartsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StartupIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,7 @@
 
 /** Many sidecars that start at once, as after a release or the loss of their machine. */
 @Isolated("takes all cores for some seconds, and others time what they see")
-class StartsIT extends Loopback {
+class StartupIT extends Loopback {
     private static final int PROCESSES = 10;
 
     /** The operators' term: nine in ten are ready within 10 s, and each takes transactions from then on. */
--- a/sidecar/src/test/java/trestlegrade/sidecar/Stopwatch.java
+++ b/sidecar/src/test/java/trestlegrade/integration/Stopwatch.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import java.util.concurrent.atomic.AtomicLong;
 import trestlegrade.lab.MachineLateness;
--- a/sidecar/src/test/java/trestlegrade/sidecar/SystemCallsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.integration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import trestlegrade.inbound.HeaderRules;
 import trestlegrade.lab.soak.SystemCallShim;
 import trestlegrade.lab.soak.SystemCallShim.Errno;
 import trestlegrade.lab.soak.SystemCallShim.Field;
@@ -152,7 +153,7 @@
             assertTrue(got.startsWith("HTTP/1.1 "), got);
             String request = endpoint.seen.get(endpoint.seen.size() - 1);
             assertEquals(trace, header(request, "X-Trace-Id"));
-            long told = Heads.patience(header(request, "X-Expires-In")) / 10;
+            long told = HeaderRules.patience(header(request, "X-Expires-In")) / 10;
             long left = 1_400 - (seenAt[0] - asked) / 1_000_000;
             assertTrue(told <= left + 150, "told " + told + " ms with " + left + " ms left");
         }
--- a/sidecar/src/test/java/trestlegrade/DecisionTraceTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/DecisionTraceTest.java
@@ -1,4 +1,4 @@
-package trestlegrade;
+package trestlegrade.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/sidecar/src/test/java/trestlegrade/GradesTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/DropRateTest.java
@@ -1,4 +1,4 @@
-package trestlegrade;
+package trestlegrade.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,11 +11,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import trestlegrade.Listed.State;
-import trestlegrade.Terms.Group;
+import trestlegrade.policy.endpoint.EndpointUpdate;
+import trestlegrade.policy.endpoint.EndpointUpdate.State;
+import trestlegrade.policy.random.SeededRandom;
+import trestlegrade.policy.request.AttemptOutcome;
+import trestlegrade.policy.settings.PolicySettings.Group;
 
 /** The drop rate, the ring, and what leaves it early. */
-class GradesTest {
+class DropRateTest {
 
     /** The odd server's drop rate after a while of such attempts. */
     @ParameterizedTest
@@ -25,8 +28,8 @@
         "COMMITTED, 240, 5, 0,    0",
         "COMMITTED, 800, 40, 0.9, 1",
     })
-    void dropRate(Outcome outcome, long took, int seconds, double least, double most) {
-        Desk desk = new Desk().fleet(State.READY, 0);
+    void dropRate(AttemptOutcome outcome, long took, int seconds, double least, double most) {
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         int attempts = desk.traffic(seconds * 10_000L, 103, outcome, took);
         double drop = desk.balance.server(103).drop;
         assertTrue(drop >= least && drop <= most, "drop rate " + drop);
@@ -36,18 +39,18 @@
     /** Most servers fail one profile and commit the other: each profile goes where it is committed. */
     @Test
     void oneProfileFails() {
-        Desk desk = new Desk().fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         int[][] attempts = new int[3][2];
         for (int i = 0; i < 3_000; i++) {
             int profile = i % 2 * 2;
             desk.now += 50;
             desk.balance.woken(desk.now);
             desk.arrive(profile);
-            Desk.Sent attempt = desk.last();
+            PolicyHarness.Sent attempt = desk.last();
             boolean bad = attempt.server() >= 104;
             attempts[profile][bad ? 1 : 0] += i < 300 ? 0 : 1;
             desk.now += 50;
-            desk.end(attempt, bad && profile == 2 ? Outcome.ERROR : Outcome.COMMITTED, 200);
+            desk.end(attempt, bad && profile == 2 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
         }
         assertTrue(
                 attempts[2][1] < attempts[2][0] / 8,
@@ -59,16 +62,16 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 20})
     void failuresOfAllCondemnNone(int oneIn) {
-        Desk desk = new Desk().fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         int[] attempts = new int[10];
         for (int i = 0; i < 3_000; i++) {
             desk.now += 100;
             desk.balance.woken(desk.now);
             desk.arrive(2);
-            Desk.Sent attempt = desk.last();
+            PolicyHarness.Sent attempt = desk.last();
             attempts[(int) attempt.server() - 100]++;
             desk.now += 100;
-            desk.end(attempt, i % oneIn == 0 ? Outcome.ERROR : Outcome.COMMITTED, 200);
+            desk.end(attempt, i % oneIn == 0 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
         }
         Arrays.sort(attempts);
         assertTrue(attempts[9] < 3 * attempts[0], attempts[0] + " to " + attempts[9]);
@@ -77,12 +80,12 @@
     /** Moves at most a quarter in 5 s, comes back as it went, and leaves the floor of one point. */
     @Test
     void upAndDown() {
-        Desk desk = new Desk().fleet(State.READY, 0);
-        desk.traffic(50_000, 103, Outcome.COMMITTED, 800);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
+        desk.traffic(50_000, 103, AttemptOutcome.COMMITTED, 800);
         assertTrue(desk.balance.server(103).drop <= 0.25 + 1e-9);
-        desk.traffic(300_000, 103, Outcome.COMMITTED, 800);
+        desk.traffic(300_000, 103, AttemptOutcome.COMMITTED, 800);
         assertEquals(1, desk.balance.server(103).drop);
-        assertTrue(desk.traffic(100_000, 103, Outcome.COMMITTED, 800) > 0, "the floor still gets attempts");
+        assertTrue(desk.traffic(100_000, 103, AttemptOutcome.COMMITTED, 800) > 0, "the floor still gets attempts");
         desk.pass(360_000);
         assertEquals(0.5, desk.balance.server(103).drop, 0.3, "few calls ease down");
         desk.pass(150_000);
@@ -92,13 +95,13 @@
     /** Everything slow at once grades nobody down. */
     @Test
     void allSlow() {
-        Desk desk = new Desk().fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         desk.traffic(30_000, -1, null, 0);
         for (int i = 0; i < 300; i++) {
             desk.arrive(0);
-            Desk.Sent attempt = desk.last();
+            PolicyHarness.Sent attempt = desk.last();
             desk.pass(1_000);
-            desk.end(attempt, Outcome.COMMITTED, 1_000);
+            desk.end(attempt, AttemptOutcome.COMMITTED, 1_000);
         }
         for (long id = 100; id < 110; id++) {
             assertTrue(desk.balance.server(id).drop < 0.3);
@@ -110,23 +113,23 @@
     @ParameterizedTest
     @CsvSource({"0, 0, 0", "24, 0, 30", "72, 60, 300"})
     void silenceOfSomeIsNoJam(int silent, int least, int most) {
-        Desk desk = new Desk();
+        PolicyHarness desk = new PolicyHarness();
         for (int i = 0; i < 72; i++) {
             desk.list(100 + i, State.READY, 0);
         }
-        List<Desk.Sent> out = new ArrayList<>();
+        List<PolicyHarness.Sent> out = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             int before = desk.sent.size();
             desk.arrive(2);
             out.addAll(desk.sent.subList(before, desk.sent.size()));
             for (int beat = 0; beat < 8; beat++) {
                 desk.pass(100);
-                for (Desk.Sent attempt : List.copyOf(out)) {
+                for (PolicyHarness.Sent attempt : List.copyOf(out)) {
                     long age = desk.now - desk.sentAt(desk.sent.indexOf(attempt));
                     boolean mute = i >= 100 && attempt.server() < 100 + silent;
                     if (age >= (mute ? 10_000 : 1_300)) {
                         out.remove(attempt);
-                        desk.end(attempt, mute ? Outcome.TIMED_OUT : Outcome.COMMITTED, age);
+                        desk.end(attempt, mute ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMMITTED, age);
                     }
                 }
             }
@@ -140,7 +143,7 @@
     /** Keyed picks follow the ring's arcs: linear positions gave some servers three times their part. */
     @Test
     void arcsAreEven() {
-        Chance chance = new Chance(1);
+        SeededRandom chance = new SeededRandom(1);
         java.util.TreeMap<Long, Integer> ring = new java.util.TreeMap<>();
         for (int point = 0; point < 1_000; point++) {
             ring.put(chance.position(100 + point / 100, point % 100), point / 100);
@@ -159,36 +162,36 @@
     @ParameterizedTest
     @CsvSource({"1, 0.1", "0.5, 0.0526", "2, 0.1818"})
     void shares(double weight, double share) {
-        Desk desk = new Desk().fleet(State.READY, 0);
-        desk.balance.listed(desk.now, List.of(new Listed(103, 0, 0, 1, State.READY, weight, 0)), false, false);
-        int attempts = desk.traffic(100_000, 103, Outcome.COMMITTED, 200);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
+        desk.balance.listed(desk.now, List.of(new EndpointUpdate(103, 0, 0, 1, State.READY, weight, 0)), false, false);
+        int attempts = desk.traffic(100_000, 103, AttemptOutcome.COMMITTED, 200);
         assertEquals(share, attempts / (double) desk.sent.size(), 0.015);
     }
 
     /** A server that falls silent, fails at once or takes no connection is left early and taken back after. */
     @ParameterizedTest
     @CsvSource({", 0, 60", "ERROR, 20, 60", "BROKEN, 20, 60", "NO_CONNECTION, 1200, 60"})
-    void leftEarly(Outcome outcome, long took, int most) {
-        Desk desk = new Desk().fleet(State.READY, 0);
+    void leftEarly(AttemptOutcome outcome, long took, int most) {
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         desk.traffic(20_000, -1, null, 0);
         int attempts = desk.traffic(50_000, 103, outcome, took);
         assertTrue(desk.balance.server(103).shut);
         assertTrue(attempts <= most, "still got " + attempts + " of about 2500 attempts");
-        for (Desk.Sent each : List.copyOf(desk.sent)) {
+        for (PolicyHarness.Sent each : List.copyOf(desk.sent)) {
             if (each.server() == 103) {
-                desk.end(each, Outcome.CALLED_OFF, 1);
+                desk.end(each, AttemptOutcome.CALLED_OFF, 1);
             }
         }
-        desk.traffic(100_000, 103, Outcome.COMMITTED, 200);
+        desk.traffic(100_000, 103, AttemptOutcome.COMMITTED, 200);
         assertFalse(desk.balance.server(103).shut);
-        int back = desk.traffic(20_000, 103, Outcome.COMMITTED, 200);
+        int back = desk.traffic(20_000, 103, AttemptOutcome.COMMITTED, 200);
         assertTrue(back > 30, "only " + back + " of about 100 attempts");
     }
 
     /** Incident ic8467a: attempts stuck at one server are no sign that all servers are crowded. */
     @Test
     void stuckAttemptsDropNoCalls() {
-        Desk desk = new Desk(Group.ALL, 3).fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness(Group.ALL, 3).fleet(State.READY, 0);
         desk.traffic(20_000, -1, null, 0);
         desk.traffic(7_000, 103, null, 0);
         assertEquals(List.of(), desk.answers);
@@ -198,17 +201,17 @@
     /** A sidecar with little traffic grades a slow kind down, from answers too few for any one server. */
     @Test
     void fewAnswersAreBlendedWithTheKind() {
-        Desk desk = new Desk();
+        PolicyHarness desk = new PolicyHarness();
         for (long id = 100; id < 110; id++) {
             desk.balance.listed(
-                    desk.now, List.of(new Listed(id, 0, id < 104 ? 1 : 0, 0, State.READY, 1, 0)), false, false);
+                    desk.now, List.of(new EndpointUpdate(id, 0, id < 104 ? 1 : 0, 0, State.READY, 1, 0)), false, false);
         }
         for (int i = 0; i < 60; i++) {
             desk.arrive(0);
-            Desk.Sent attempt = desk.last();
+            PolicyHarness.Sent attempt = desk.last();
             long took = attempt.server() < 104 ? 900 : 300;
             desk.pass(took);
-            desk.end(attempt, Outcome.COMMITTED, took);
+            desk.end(attempt, AttemptOutcome.COMMITTED, took);
             desk.pass(5_000 - took);
         }
         for (long id = 100; id < 110; id++) {
@@ -220,13 +223,13 @@
     @Test
     @SuppressWarnings("ReferenceEquality") // Whether a further attempt was sent, not whether it is like the last.
     void trialsAreFew() {
-        Desk desk = new Desk().fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         for (int i = 0; i < 600; i++) {
             desk.arrive(0);
-            for (Desk.Sent attempt = null; attempt != desk.last(); ) {
+            for (PolicyHarness.Sent attempt = null; attempt != desk.last(); ) {
                 attempt = desk.last();
                 desk.pass(200);
-                desk.end(attempt, attempt.server() < 104 ? Outcome.ERROR : Outcome.COMMITTED, 200);
+                desk.end(attempt, attempt.server() < 104 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
             }
             desk.pass(4_400);
         }
@@ -239,7 +242,7 @@
     /** Losing most of the fleet to silence leaves a third of it in use. */
     @Test
     void notAllAreShutOut() {
-        Desk desk = new Desk().fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         for (int i = 0; i < 400; i++) {
             desk.arrive(0);
             desk.pass(100);
@@ -254,7 +257,7 @@
     /** A jam (everything takes far longer than it can) ends arrivals early, and the end of it lets them in. */
     @Test
     void earlyRollback() {
-        Desk desk = new Desk().fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         desk.traffic(30_000, -1, null, 0);
         assertEquals(0, desk.answers.size());
         for (int i = 0; i < 3_000; i++) {
@@ -264,8 +267,8 @@
             }
         }
         assertTrue(desk.answers.size() > 1_000, "rolled back " + desk.answers.size());
-        for (Desk.Sent each : List.copyOf(desk.sent)) {
-            desk.end(each, Outcome.COMMITTED, 4_000);
+        for (PolicyHarness.Sent each : List.copyOf(desk.sent)) {
+            desk.end(each, AttemptOutcome.COMMITTED, 4_000);
         }
         desk.traffic(100_000, -1, null, 0);
         int before = desk.answers.size();
@@ -278,11 +281,13 @@
     void windows() {
         int[] keepers = new int[10];
         for (int number = 0; number < 125; number++) {
-            Desk desk =
-                    new Desk("fees.connection=0.03", "n_instances=125", "my_number=" + number).fleet(State.READY, 0);
+            PolicyHarness desk = new PolicyHarness("fees.connection=0.03", "n_instances=125", "my_number=" + number)
+                    .fleet(State.READY, 0);
             desk.traffic(8_000, -1, null, 0);
-            long[] kept =
-                    desk.sent.stream().mapToLong(Desk.Sent::server).distinct().toArray();
+            long[] kept = desk.sent.stream()
+                    .mapToLong(PolicyHarness.Sent::server)
+                    .distinct()
+                    .toArray();
             assertEquals(8, kept.length);
             assertEquals(4, Arrays.stream(kept).filter(id -> id % 2 == 0).count());
             for (long id : kept) {
@@ -292,7 +297,7 @@
         Arrays.sort(keepers);
         assertTrue(keepers[9] - keepers[0] <= 5, Arrays.toString(keepers));
         // A part of one that leaves is made up for.
-        Desk desk = new Desk("fees.connection=0.03", "n_instances=125").fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness("fees.connection=0.03", "n_instances=125").fleet(State.READY, 0);
         desk.traffic(8_000, -1, null, 0);
         desk.list(desk.last().server(), State.DRAINING, 0);
         int before = desk.sent.size();
@@ -301,7 +306,7 @@
                 8,
                 desk.sent.stream()
                         .skip(before)
-                        .map(Desk.Sent::server)
+                        .map(PolicyHarness.Sent::server)
                         .distinct()
                         .count());
     }
@@ -310,15 +315,15 @@
     @ParameterizedTest
     @CsvSource({"0.12, 200, 0, 0", "0.12, 4000, 0.2, 0.9", "0.03, 200, 0.4, 0.6"})
     void atHome(double fee, long took, double least, double most) {
-        Desk desk = new Desk("fees.cross_zone=" + fee, "zone=1").fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness("fees.cross_zone=" + fee, "zone=1").fleet(State.READY, 0);
         desk.traffic(30_000, -1, null, 0);
-        List.copyOf(desk.sent).forEach(attempt -> desk.end(attempt, Outcome.COMMITTED, 200));
+        List.copyOf(desk.sent).forEach(attempt -> desk.end(attempt, AttemptOutcome.COMMITTED, 200));
         int before = desk.sent.size();
         for (int i = 0, ended = before; i < 2_000; i++) {
             long due = desk.now - took;
             desk.arrive(0);
             while (desk.sentAt(ended) <= due) {
-                desk.end(desk.sent.get(ended++), Outcome.COMMITTED, took);
+                desk.end(desk.sent.get(ended++), AttemptOutcome.COMMITTED, took);
             }
             desk.pass(100);
         }
@@ -331,12 +336,12 @@
     /** A weight that falls with the load is no size: the busy keep their points, and are passed over by keys. */
     @Test
     void liveWeights() {
-        Desk desk = new Desk("weights=live", "family_info.warm_keys=true").fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness("weights=live", "family_info.warm_keys=true").fleet(State.READY, 0);
         for (int other = 1_000; other < 1_300; other++) {
             keyed(desk, other);
         }
         long first = keyed(desk, 77);
-        desk.balance.listed(desk.now, List.of(new Listed(first, 0, 0, 0, State.READY, 0.05, 0)), false, false);
+        desk.balance.listed(desk.now, List.of(new EndpointUpdate(first, 0, 0, 0, State.READY, 0.05, 0)), false, false);
         assertTrue(keyed(desk, 77) != first);
         assertEquals(desk.balance.server(first == 100 ? 101 : 100).points, desk.balance.server(first).points);
         assertEquals(1, desk.balance.server(first).weight);
@@ -345,10 +350,10 @@
         assertEquals(first, keyed(desk, 77));
     }
 
-    private static long keyed(Desk desk, long key) {
+    private static long keyed(PolicyHarness desk, long key) {
         desk.balance.arrived(desk.now, desk.nextTx++, 0, 0, key, 10_000, 0);
-        Desk.Sent attempt = desk.last();
-        desk.end(attempt, Outcome.COMMITTED, 200);
+        PolicyHarness.Sent attempt = desk.last();
+        desk.end(attempt, AttemptOutcome.COMMITTED, 200);
         return attempt.server();
     }
 
@@ -356,7 +361,7 @@
     @ParameterizedTest
     @CsvSource({"0, true", "1, false"})
     void ranks(double worst, boolean apart) {
-        Desk desk = new Desk("goal.whole=1", "goal.worst_class=" + worst).fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness("goal.whole=1", "goal.worst_class=" + worst).fleet(State.READY, 0);
         desk.traffic(30_000, -1, null, 0);
         int[] passed = new int[3];
         for (int i = 0; i < 3_000; i++) {
@@ -370,7 +375,7 @@
                         .skip(Math.max(0, desk.sent.size() - 40))
                         .filter(s -> s.tx() == desk.nextTx - 24)
                         .toList()
-                        .forEach(s -> desk.end(s, Outcome.COMMITTED, 1_400));
+                        .forEach(s -> desk.end(s, AttemptOutcome.COMMITTED, 1_400));
             }
         }
         assertTrue(passed[2] > 100);
--- a/sidecar/src/test/java/trestlegrade/Desk.java
+++ b/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
@@ -1,50 +1,55 @@
-package trestlegrade;
+package trestlegrade.policy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import trestlegrade.Listed.State;
-import trestlegrade.Terms.Group;
+import trestlegrade.config.PolicySettingsReader;
+import trestlegrade.policy.endpoint.EndpointUpdate;
+import trestlegrade.policy.endpoint.EndpointUpdate.State;
+import trestlegrade.policy.lease.EndpointListLease;
+import trestlegrade.policy.request.AttemptOutcome;
+import trestlegrade.policy.request.RejectionReason;
+import trestlegrade.policy.settings.PolicySettings.Group;
 
 /** A sidecar's decisions with a fleet of ten servers (ids 100 to 109), whose answers the test gives by hand. */
-final class Desk implements Outlet {
-    record Sent(long tx, long server, long timeout, int attempt) {}
+public final class PolicyHarness implements PolicyActions {
+    public record Sent(long tx, long server, long timeout, int attempt) {}
 
-    final List<Sent> sent = new ArrayList<>();
+    public final List<Sent> sent = new ArrayList<>();
     private final List<Long> sentAt = new ArrayList<>();
-    final List<String> answers = new ArrayList<>();
-    final List<Refusal> refusals = new ArrayList<>();
+    public final List<String> answers = new ArrayList<>();
+    public final List<RejectionReason> refusals = new ArrayList<>();
     final List<Long> calledOff = new ArrayList<>();
     private final List<Sent> out = new ArrayList<>();
     private final Map<Sent, Long> due = new HashMap<>();
     private final Map<Long, Integer> attempts = new HashMap<>();
     int subscriptions;
-    long now = 1_000_000;
+    public long now = 1_000_000;
     long nextTx = 1;
-    final Balance balance;
+    public final LoadBalancer balance;
 
     /** Profiles 0 idempotent, 1 journalled, 2 non-idempotent; goal 0.5 s, deadline 1 s; and further settings. */
-    Desk(Group group, int maxAttempts, String... further) {
+    public PolicyHarness(Group group, int maxAttempts, String... further) {
         this(7, group, maxAttempts, further);
     }
 
     /** One of several that differ by chance alone. */
-    Desk(long seed) {
+    public PolicyHarness(long seed) {
         this(seed, Group.CELL, 3);
     }
 
-    Desk(long seed, Group group, int maxAttempts, String... further) {
-        this(seed, ListLease.permanent(), group, maxAttempts, further);
+    public PolicyHarness(long seed, Group group, int maxAttempts, String... further) {
+        this(seed, EndpointListLease.permanent(), group, maxAttempts, further);
     }
 
     /** One that sends by a list as long as the lease holds. */
-    Desk(ListLease lease, Group group, int maxAttempts) {
+    public PolicyHarness(EndpointListLease lease, Group group, int maxAttempts) {
         this(7, lease, group, maxAttempts);
     }
 
-    private Desk(long seed, ListLease lease, Group group, int maxAttempts, String... further) {
+    private PolicyHarness(long seed, EndpointListLease lease, Group group, int maxAttempts, String... further) {
         StringBuilder settings = new StringBuilder("""
                 n_instances=4
                 ceilings.cancelling=true
@@ -68,28 +73,29 @@
                     + at + "group=" + group.name().toLowerCase(Locale.ROOT) + "\n" + at + "dedup_window=2000\n");
         }
         settings.append(String.join("\n", further));
-        balance = new Balance(TermsReader.ofLines(settings.toString()).terms(), seed, this, lease);
+        balance = new LoadBalancer(
+                PolicySettingsReader.ofLines(settings.toString()).terms(), seed, this, lease);
         balance.start(now);
     }
 
-    Desk(String... further) {
+    public PolicyHarness(String... further) {
         this(Group.CELL, 3, further);
     }
 
     /** Servers in two zones and five cells of two, all in the state and with the start given. */
-    Desk fleet(State state, long launched) {
+    public PolicyHarness fleet(State state, long launched) {
         for (int i = 0; i < 10; i++) {
             list(100 + i, state, launched);
         }
         return this;
     }
 
-    void list(long id, State state, long launched) {
+    public void list(long id, State state, long launched) {
         int cell = (int) (id - 100) / 2;
-        balance.listed(now, List.of(new Listed(id, (int) id % 2, 0, cell, state, 1, launched)), false, false);
+        balance.listed(now, List.of(new EndpointUpdate(id, (int) id % 2, 0, cell, state, 1, launched)), false, false);
     }
 
-    long arrive(int profile) {
+    public long arrive(int profile) {
         balance.arrived(now, nextTx, profile, 0, 0, 10_000, 0);
         return nextTx++;
     }
@@ -99,15 +105,15 @@
         return place < sentAt.size() ? sentAt.get(place) : Long.MAX_VALUE;
     }
 
-    Sent last() {
+    public Sent last() {
         return sent.get(sent.size() - 1);
     }
 
-    void end(Sent attempt, Outcome outcome, long took) {
-        balance.attemptEnded(now, attempt.tx(), attempt.attempt(), outcome, took, outcome == Outcome.COMMITTED);
+    public void end(Sent attempt, AttemptOutcome outcome, long took) {
+        balance.attemptEnded(now, attempt.tx(), attempt.attempt(), outcome, took, outcome == AttemptOutcome.COMMITTED);
     }
 
-    void pass(long span) {
+    public void pass(long span) {
         for (long end = now + span; now < end; ) {
             now += 100;
             balance.woken(now);
@@ -118,7 +124,7 @@
      * Sends steady idempotent traffic, one every 2 ms; a server takes 20 ms, the odd one what {@code oddTook} says with
      * {@code oddOutcome}, or never answers if that is null. Returns how many attempts the odd one got.
      */
-    int traffic(long span, long odd, Outcome oddOutcome, long oddTook) {
+    public int traffic(long span, long odd, AttemptOutcome oddOutcome, long oddTook) {
         int first = sent.size();
         for (long end = now + span; now < end; ) {
             now += 20;
@@ -138,7 +144,7 @@
                 if (due.get(each) <= now) {
                     out.remove(each);
                     boolean isOdd = each.server() == odd;
-                    end(each, isOdd ? oddOutcome : Outcome.COMMITTED, isOdd ? oddTook : 200);
+                    end(each, isOdd ? oddOutcome : AttemptOutcome.COMMITTED, isOdd ? oddTook : 200);
                 }
             }
         }
@@ -157,13 +163,13 @@
     }
 
     @Override
-    public void rollBack(long tx, long pause, Refusal why) {
+    public void rollBack(long tx, long pause, RejectionReason why) {
         answers.add("rolled back " + tx);
         refusals.add(why);
     }
 
     @Override
-    public void abandon(long tx, Refusal why) {
+    public void abandon(long tx, RejectionReason why) {
         answers.add("abandoned " + tx);
     }
 
--- a/sidecar/src/test/java/trestlegrade/RulesTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/RulesTest.java
@@ -1,4 +1,4 @@
-package trestlegrade;
+package trestlegrade.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,8 +10,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import trestlegrade.Listed.State;
-import trestlegrade.Terms.Group;
+import trestlegrade.policy.endpoint.EndpointUpdate;
+import trestlegrade.policy.endpoint.EndpointUpdate.State;
+import trestlegrade.policy.request.AttemptOutcome;
+import trestlegrade.policy.request.Transaction;
+import trestlegrade.policy.settings.PolicySettings.Group;
 
 /** The four rules. */
 class RulesTest {
@@ -34,11 +37,11 @@
         "2, CELL, NO_CONNECTION, again",
         "2, CELL, NOT_SENT,      again",
     })
-    void repeats(int profile, Group group, Outcome outcome, String expected) {
+    void repeats(int profile, Group group, AttemptOutcome outcome, String expected) {
         for (int round = 0; round < 20; round++) {
-            Desk desk = new Desk(group, 3).fleet(State.READY, 0);
+            PolicyHarness desk = new PolicyHarness(group, 3).fleet(State.READY, 0);
             long tx = desk.arrive(profile);
-            Desk.Sent first = desk.last();
+            PolicyHarness.Sent first = desk.last();
             desk.now += 100;
             desk.end(first, outcome, 100);
             if (expected.equals("abandoned")) {
@@ -61,11 +64,11 @@
     /** Endpoints that come and go all day: what has left is forgotten, and passes nothing on to who comes next. */
     @Test
     void whatHasLeftIsForgotten() {
-        Desk desk = new Desk().fleet(State.READY, 0);
-        desk.traffic(50_000, 100, Outcome.ERROR, 100);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
+        desk.traffic(50_000, 100, AttemptOutcome.ERROR, 100);
         assertTrue(desk.balance.server(100).shut);
         desk.arrive(0);
-        Desk.Sent out = desk.last();
+        PolicyHarness.Sent out = desk.last();
         for (int i = 0; i < 1_000; i++) {
             long old = i == 0 ? out.server() : 200 + i - 1;
             desk.list(old, State.GONE, 0);
@@ -78,7 +81,7 @@
             assertTrue(i < 20 || desk.balance.server(200 + i - 20) == null, "generation " + i);
             assertTrue(desk.balance.server(200 + i).index <= 11, "place " + desk.balance.server(200 + i).index);
             if (i == 8) {
-                desk.end(out, Outcome.ERROR, 100);
+                desk.end(out, AttemptOutcome.ERROR, 100);
             }
         }
         assertEquals(0, desk.balance.server(1_199).failedInRow);
@@ -87,7 +90,7 @@
     /** The clock here stepped back by an hour: a server that starts is cold from now on, and warm in its time. */
     @Test
     void aStartInTheFutureIsOneAtThisMoment() {
-        Desk desk = new Desk().fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         desk.list(100, State.READY, desk.now + 36_000_000);
         assertEquals(desk.now, desk.balance.server(100).coldSince);
         // Told once more, it has not started again.
@@ -102,12 +105,12 @@
     @ParameterizedTest
     @ValueSource(strings = {"DRAINING", "COLD", "FAILED"})
     void whatIsGivenUpIsForgotten(String cause) {
-        Desk desk = new Desk().fleet(cause.equals("DRAINING") ? State.DRAINING : State.READY, 0);
+        PolicyHarness desk = new PolicyHarness().fleet(cause.equals("DRAINING") ? State.DRAINING : State.READY, 0);
         for (int i = 0; i < 1_000; i++) {
             desk.arrive(i % 3);
             if (cause.equals("FAILED")) {
                 while (desk.balance.held() > 0) {
-                    desk.end(desk.last(), Outcome.NO_CONNECTION, 10);
+                    desk.end(desk.last(), AttemptOutcome.NO_CONNECTION, 10);
                 }
             } else if (cause.equals("COLD")) {
                 desk.now += 10;
@@ -115,7 +118,7 @@
         }
         if (cause.equals("COLD")) {
             desk.pass(20_000);
-            List.copyOf(desk.sent).forEach(each -> desk.end(each, Outcome.TIMED_OUT, 10_000));
+            List.copyOf(desk.sent).forEach(each -> desk.end(each, AttemptOutcome.TIMED_OUT, 10_000));
         }
         desk.pass(20_000);
         assertEquals(0, desk.balance.held());
@@ -125,10 +128,10 @@
     /** A journalled transaction that may have run is neither resent past its window nor rolled back. */
     @Test
     void windowCountsFromTheFirstAttemptThatMayHaveRun() {
-        Desk desk = new Desk(Group.CELL, 3).fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness(Group.CELL, 3).fleet(State.READY, 0);
         desk.balance.arrived(desk.now, 9, 1, 0, 0, 100_000, 0);
         desk.now += 19_500;
-        desk.end(desk.last(), Outcome.BROKEN, 19_500);
+        desk.end(desk.last(), AttemptOutcome.BROKEN, 19_500);
         assertEquals(1, desk.sent.size());
         assertEquals(List.of("abandoned 9"), desk.answers);
     }
@@ -137,16 +140,16 @@
     @ParameterizedTest
     @CsvSource({"0, true, 2", "1, true, 2", "2, true, 1", "0, false, 1"})
     void lostAttempts(int profile, boolean cancelling, int attempts) {
-        Desk desk = new Desk(Group.ALL, 3, "ceilings.cancelling=" + cancelling).fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness(Group.ALL, 3, "ceilings.cancelling=" + cancelling).fleet(State.READY, 0);
         desk.traffic(20_000, -1, null, 0);
-        List.copyOf(desk.sent).forEach(attempt -> desk.end(attempt, Outcome.COMMITTED, 200));
+        List.copyOf(desk.sent).forEach(attempt -> desk.end(attempt, AttemptOutcome.COMMITTED, 200));
         int before = desk.sent.size();
         desk.balance.arrived(desk.now, 99_999, profile, 0, 0, 20_000, 0);
         desk.pass(12_500);
         assertEquals(before + 1, desk.sent.size());
         assertEquals(attempts > 1, desk.calledOff.contains(99_999L));
         if (attempts > 1) {
-            desk.end(desk.last(), Outcome.CALLED_OFF, 12_500);
+            desk.end(desk.last(), AttemptOutcome.CALLED_OFF, 12_500);
         }
         desk.pass(1_000);
         assertEquals(before + attempts, desk.sent.size());
@@ -160,17 +163,17 @@
         "2, ,              abandoned",
         "0, ,              rolled back",
     })
-    void oneFinalAnswerAtTheEnd(int profile, Outcome outcome, String expected) {
-        Desk desk = new Desk(Group.CELL, 1).fleet(State.READY, 0);
+    void oneFinalAnswerAtTheEnd(int profile, AttemptOutcome outcome, String expected) {
+        PolicyHarness desk = new PolicyHarness(Group.CELL, 1).fleet(State.READY, 0);
         long tx = desk.arrive(profile);
-        Desk.Sent attempt = desk.last();
+        PolicyHarness.Sent attempt = desk.last();
         if (outcome != null) {
             desk.now += 10_000;
             desk.end(attempt, outcome, 10_000);
         }
         desk.pass(10_200);
         assertEquals(List.of(expected + " " + tx), desk.answers);
-        desk.end(attempt, Outcome.BROKEN, 10_300);
+        desk.end(attempt, AttemptOutcome.BROKEN, 10_300);
         desk.balance.clientLeft(desk.now, tx);
         desk.pass(20_000);
         assertEquals(1, desk.sent.size());
@@ -179,12 +182,12 @@
 
     @Test
     void noAnswerIsOwedOnceTheClientHasLeftOrHasIts() {
-        Desk desk = new Desk().fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         long left = desk.arrive(0);
         desk.balance.clientLeft(desk.now, left);
-        desk.end(desk.last(), Outcome.ERROR, 100);
+        desk.end(desk.last(), AttemptOutcome.ERROR, 100);
         desk.arrive(2);
-        desk.end(desk.last(), Outcome.COMMITTED, 100);
+        desk.end(desk.last(), AttemptOutcome.COMMITTED, 100);
         desk.balance.clientLeft(desk.now, 12345);
         desk.pass(20_000);
         assertEquals(2, desk.sent.size());
@@ -196,7 +199,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"none", "draining", "later"})
     void noUsableServer(String list) {
-        Desk desk = new Desk();
+        PolicyHarness desk = new PolicyHarness();
         if (list.equals("draining")) {
             desk.fleet(State.DRAINING, 0);
         }
@@ -216,10 +219,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone", "missing"})
     void drains(String how) {
-        Desk desk = new Desk(Group.ALL, 3).fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness(Group.ALL, 3).fleet(State.READY, 0);
         desk.arrive(1);
         if (how.equals("missing")) {
-            desk.balance.listed(desk.now, List.of(new Listed(105, 1, 0, 2, State.READY, 1, 0)), true, false);
+            desk.balance.listed(desk.now, List.of(new EndpointUpdate(105, 1, 0, 2, State.READY, 1, 0)), true, false);
         } else {
             for (long id = 100; id < 110; id++) {
                 if (id != 105) {
@@ -228,7 +231,7 @@
             }
         }
         int before = desk.sent.size();
-        desk.end(desk.sent.get(0), Outcome.NO_CONNECTION, 100);
+        desk.end(desk.sent.get(0), AttemptOutcome.NO_CONNECTION, 100);
         for (int i = 0; i < 100; i++) {
             desk.arrive(0);
         }
@@ -240,12 +243,12 @@
     /** What a sidecar that has just started learnt first was a light one: heavier ones still go further. */
     @Test
     void oneLightTransactionIsNoMeasure() {
-        Desk desk = new Desk().fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         long[] costs = {50, 1_000, 1_000, 1_000, 1_300};
         for (int i = 0; i < costs.length; i++) {
             desk.balance.arrived(desk.now, i + 1, 0, 0, 0, 10_000, costs[i]);
             desk.pass(200);
-            desk.end(desk.last(), i == costs.length - 1 ? Outcome.NO_CONNECTION : Outcome.COMMITTED, 200);
+            desk.end(desk.last(), i == costs.length - 1 ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.COMMITTED, 200);
         }
         assertEquals(costs.length + 1, desk.sent.size());
         assertEquals(List.of(), desk.answers);
@@ -254,7 +257,7 @@
     /** A failed call for the list is made again, later each time and never too late. */
     @Test
     void listIsAskedForAgain() {
-        Desk desk = new Desk();
+        PolicyHarness desk = new PolicyHarness();
         assertEquals(1, desk.subscriptions);
         for (int i = 0; i < 10; i++) {
             desk.balance.listFailed(desk.now);
@@ -270,7 +273,7 @@
     @ValueSource(ints = {10_000, 60_000})
     void howeverOftenItFailedTheListIsAskedForSoon(int askWithin) {
         for (int seed = 0; seed < 50; seed++) {
-            Desk desk = new Desk(seed, Group.CELL, 3, "safety.ask_within=" + askWithin);
+            PolicyHarness desk = new PolicyHarness(seed, Group.CELL, 3, "safety.ask_within=" + askWithin);
             for (int i = 0; i < 12; i++) {
                 desk.balance.listFailed(desk.now);
                 int before = desk.subscriptions;
@@ -283,14 +286,15 @@
     /** Those that the settings do not name are nobody's part but their own, and beyond what is agreed with anybody. */
     @Test
     void customersThatTheSettingsDoNotNameAreNotTheFirst() {
-        Desk desk = new Desk("tenants.count=2", "tenants.0.share=0.5", "tenants.1.share=0.5").fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness("tenants.count=2", "tenants.0.share=0.5", "tenants.1.share=0.5")
+                .fleet(State.READY, 0);
         for (int i = 0; i < 100; i++) {
             desk.balance.arrived(
                     desk.now, 1_000 + i, 0, i % 10 == 0 ? 0 : i % 10 == 1 ? 1 : i % 10 == 2 ? 7 : -1, 0, 10_000, 0);
         }
-        assertFalse(desk.balance.overShare(desk.now, new Tx(1, 0, 0, desk.now, desk.now + 10_000, 0)));
-        assertFalse(desk.balance.overShare(desk.now, new Tx(1, 0, 1, desk.now, desk.now + 10_000, 0)));
-        assertTrue(desk.balance.overShare(desk.now, new Tx(1, 0, 2, desk.now, desk.now + 10_000, 0)));
+        assertFalse(desk.balance.overShare(desk.now, new Transaction(1, 0, 0, desk.now, desk.now + 10_000, 0)));
+        assertFalse(desk.balance.overShare(desk.now, new Transaction(1, 0, 1, desk.now, desk.now + 10_000, 0)));
+        assertTrue(desk.balance.overShare(desk.now, new Transaction(1, 0, 2, desk.now, desk.now + 10_000, 0)));
     }
 
     /** Discovery serves in turn and a call waits 2 s at the most: what a hundred ask of it while it fails. */
@@ -298,7 +302,7 @@
     void manyThatFailTogetherAskSeldomAndApart() {
         int[] asked = new int[30];
         for (int seed = 0; seed < 100; seed++) {
-            Desk desk = new Desk(seed);
+            PolicyHarness desk = new PolicyHarness(seed);
             for (long failed = desk.now; failed - 1_000_000 < 300_000; failed = desk.now + 20_000) {
                 desk.pass(failed - desk.now);
                 int before = desk.subscriptions;
@@ -320,7 +324,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void coldServerIsNotPushed(boolean restarted) {
-        Desk desk = new Desk().fleet(State.READY, 0);
+        PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         desk.traffic(100_000, -1, null, 0);
         long id = restarted ? 104 : 200;
         desk.list(id, State.READY, desk.now);
@@ -341,7 +345,7 @@
     /** A burst on a fleet that is cold as a whole: most wait in vain, and each gets one answer all the same. */
     @Test
     void aBurstOnAColdFleetIsAnswered() {
-        Desk desk = new Desk();
+        PolicyHarness desk = new PolicyHarness();
         desk.fleet(State.READY, desk.now);
         for (int i = 0; i < 100; i++) {
             for (int j = 0; j < 20; j++) {
@@ -363,7 +367,7 @@
 
     @Test
     void aWholeFleetStartingColdStillServes() {
-        Desk desk = new Desk();
+        PolicyHarness desk = new PolicyHarness();
         desk.fleet(State.READY, desk.now);
         desk.pass(20_000);
         desk.traffic(10_000, -1, null, 0);
--- a/sidecar/src/test/java/trestlegrade/ColdFleetTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/SlowStartFleetTest.java
@@ -1,4 +1,4 @@
-package trestlegrade;
+package trestlegrade.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,13 +13,17 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import trestlegrade.Listed.State;
+import trestlegrade.config.PolicySettingsReader;
+import trestlegrade.policy.endpoint.EndpointUpdate;
+import trestlegrade.policy.endpoint.EndpointUpdate.State;
+import trestlegrade.policy.request.AttemptOutcome;
+import trestlegrade.policy.request.RejectionReason;
 
 /**
  * Rule 4 over a fleet: as many sidecars as are named decide on one virtual clock, none knowing of the others, and what
  * a cold server gets from all of them within the rule's time is counted against what it may get then.
  */
-class ColdFleetTest {
+class SlowStartFleetTest {
     // Tenths of a millisecond, as everywhere.
     private static final long SECOND = 10_000;
     private static final double WORK = 800;
@@ -63,11 +67,11 @@
         return Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - launched.getOrDefault(server, -COLD)) / COLD);
     }
 
-    private final class Sidecar implements Outlet {
+    private final class Sidecar implements PolicyActions {
         private final int number;
         private final int sidecars;
         private final double rate;
-        private Balance balance;
+        private LoadBalancer balance;
         private long nextTx = 1;
         private final Map<Long, Integer> attempts = new HashMap<>();
 
@@ -81,8 +85,8 @@
 
         /** A process that knows nothing of one before it under its name. */
         private void start() {
-            balance = new Balance(
-                    TermsReader.ofLines("n_instances=" + sidecars + "\nmy_number=" + number + """
+            balance = new LoadBalancer(
+                    PolicySettingsReader.ofLines("n_instances=" + sidecars + "\nmy_number=" + number + """
 
                     ceilings.cancelling=true
                     ceilings.max_hops=3
@@ -101,7 +105,7 @@
             balance.start(now);
         }
 
-        void restart(List<Listed> rows) {
+        void restart(List<EndpointUpdate> rows) {
             start();
             balance.listed(now, rows, true, true);
         }
@@ -116,22 +120,22 @@
             int attempt = attempts.merge(tx, 1, Integer::sum) - 1;
             count(server);
             double took = WORK * (0.5 + random.nextDouble()) / warmth(server);
-            Balance sender = balance;
-            in(took, () -> sender.attemptEnded(now, tx, attempt, Outcome.COMMITTED, (long) took, true));
+            LoadBalancer sender = balance;
+            in(took, () -> sender.attemptEnded(now, tx, attempt, AttemptOutcome.COMMITTED, (long) took, true));
         }
 
         @Override
         public void callOff(long tx, int attempt) {}
 
         @Override
-        public void rollBack(long tx, long pause, Refusal why) {}
+        public void rollBack(long tx, long pause, RejectionReason why) {}
 
         @Override
-        public void abandon(long tx, Refusal why) {}
+        public void abandon(long tx, RejectionReason why) {}
 
         @Override
         public void wake(long span) {
-            Balance woken = balance;
+            LoadBalancer woken = balance;
             in((double) span, () -> woken.woken(now));
         }
 
@@ -228,9 +232,9 @@
                 random.doubles(sidecars).map(u -> -Math.log(1 - u) + 0.2).toArray();
         double whole = java.util.Arrays.stream(parts).sum();
         double rate = 0.7 * warm * cores * SECOND / WORK;
-        List<Listed> rows = new ArrayList<>();
+        List<EndpointUpdate> rows = new ArrayList<>();
         for (int i = 0; i < warm; i++) {
-            rows.add(new Listed(100 + i, 0, 0, 0, State.READY, 1, 0));
+            rows.add(new EndpointUpdate(100 + i, 0, 0, 0, State.READY, 1, 0));
         }
         List<Sidecar> fleet = new ArrayList<>();
         Runnable start = () -> {
@@ -245,7 +249,7 @@
         }
         for (int i = 0; i < cold; i++) {
             launched.put(10_000L + i, now);
-            rows.add(new Listed(10_000 + i, 0, 0, 0, State.READY, 1, now));
+            rows.add(new EndpointUpdate(10_000 + i, 0, 0, 0, State.READY, 1, now));
         }
         busier = 2;
         if (!known) {
--- a/sidecar/src/test/java/trestlegrade/TraceScenario.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TraceScenario.java
@@ -1,4 +1,4 @@
-package trestlegrade;
+package trestlegrade.policy;
 
 import java.util.List;
 import java.util.Locale;
--- a/sidecar/src/test/java/trestlegrade/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -1,4 +1,4 @@
-package trestlegrade;
+package trestlegrade.policy;
 
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
@@ -11,6 +11,11 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
+import trestlegrade.config.PolicySettingsReader;
+import trestlegrade.policy.endpoint.EndpointUpdate;
+import trestlegrade.policy.lease.EndpointListLease;
+import trestlegrade.policy.request.AttemptOutcome;
+import trestlegrade.policy.request.RejectionReason;
 
 /**
  * Sidecars and endpoints on one virtual clock, drawn from one seed. Every call by which a sidecar's decisions act goes
@@ -21,7 +26,7 @@
     private static final long MILLISECOND = 10;
     private static final long SECOND = 1_000 * MILLISECOND;
     private static final long GRACE = SECOND;
-    private static final List<Refusal> REASONS = List.of(Refusal.values());
+    private static final List<RejectionReason> REASONS = List.of(RejectionReason.values());
 
     private record Event(long at, long order, Runnable action) {}
 
@@ -116,7 +121,7 @@
             endpoint.failing = 0;
             endpoint.failingProfile = -1;
             endpoint.refusing = false;
-            if (endpoint.state != Listed.State.READY) {
+            if (endpoint.state != EndpointUpdate.State.READY) {
                 endpoint.restart();
             }
         }
@@ -132,7 +137,7 @@
         double failing;
         int failingProfile = -1;
         boolean refusing;
-        private Listed.State state = Listed.State.READY;
+        private EndpointUpdate.State state = EndpointUpdate.State.READY;
         private long startedAt;
         private long busyUntil;
         private int inFlight;
@@ -143,10 +148,10 @@
         }
 
         void drain() {
-            state = Listed.State.DRAINING;
+            state = EndpointUpdate.State.DRAINING;
             listVersion++;
             after(3 * SECOND, () -> {
-                state = Listed.State.GONE;
+                state = EndpointUpdate.State.GONE;
                 listVersion++;
             });
         }
@@ -154,17 +159,17 @@
         /** The same endpoint begins anew, cold; every third time under another id. */
         void restart() {
             startedAt = now;
-            state = Listed.State.READY;
+            state = EndpointUpdate.State.READY;
             if (random.nextInt(3) == 0) {
                 id += 1_000;
             }
             listVersion++;
         }
 
-        private Listed row() {
+        private EndpointUpdate row() {
             double weight = index % 3 == 0 ? 2 : 1;
             double shown = scenario.liveWeights() ? weight / (1 + inFlight / 4.0) : weight;
-            return new Listed(id, index % 2, index % 3, index / 2, state, shown, startedAt);
+            return new EndpointUpdate(id, index % 2, index % 3, index / 2, state, shown, startedAt);
         }
 
         private long serve(long work) {
@@ -174,14 +179,14 @@
             return busyUntil - now + took * 7 / 8;
         }
 
-        private Outcome refusal() {
-            if (state == Listed.State.GONE) {
-                return Outcome.NO_CONNECTION;
+        private AttemptOutcome refusal() {
+            if (state == EndpointUpdate.State.GONE) {
+                return AttemptOutcome.NO_CONNECTION;
             }
             if (refusing) {
-                return random.nextBoolean() ? Outcome.NO_CONNECTION : Outcome.TURNED_AWAY;
+                return random.nextBoolean() ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.TURNED_AWAY;
             }
-            return state == Listed.State.DRAINING && random.nextBoolean() ? Outcome.TURNED_AWAY : null;
+            return state == EndpointUpdate.State.DRAINING && random.nextBoolean() ? AttemptOutcome.TURNED_AWAY : null;
         }
     }
 
@@ -219,13 +224,13 @@
 
     // -------------------------------------------------- one sidecar
 
-    private record Sent(long transaction, int attempt, Endpoint endpoint, Balance by) {}
+    private record Sent(long transaction, int attempt, Endpoint endpoint, LoadBalancer by) {}
 
     /** One sidecar: its decisions, and what it asks of the world. */
-    private final class Sidecar implements Outlet {
+    private final class Sidecar implements PolicyActions {
         private final int number;
-        private final ListLease lease = new ListLease(now, GRACE);
-        private Balance balance;
+        private final EndpointListLease lease = new EndpointListLease(now, GRACE);
+        private LoadBalancer balance;
         private long nextTransaction = 1;
         private long toldVersion = -1;
         private int generation;
@@ -241,14 +246,15 @@
         void start(long seed, boolean again) {
             generation++;
             out.clear();
-            balance = new Balance(TermsReader.ofLines(scenario.settings(number)).terms(), seed, this, lease);
+            balance = new LoadBalancer(
+                    PolicySettingsReader.ofLines(scenario.settings(number)).terms(), seed, this, lease);
             balance.start(now);
             list(again);
         }
 
         private void list(boolean old) {
             toldVersion = listVersion;
-            List<Listed> rows = endpoints.stream().map(Endpoint::row).toList();
+            List<EndpointUpdate> rows = endpoints.stream().map(Endpoint::row).toList();
             boolean whole = random.nextInt(5) != 0;
             balance.listed(now, rows, whole, old);
         }
@@ -263,7 +269,7 @@
             profiles.put(id, profile);
             balance.arrived(now, id, profile, customer, key, patience, cost);
             if (random.nextInt(100) == 0) {
-                Balance taker = balance;
+                LoadBalancer taker = balance;
                 after(random.nextInt(100) * MILLISECOND, () -> taker.clientLeft(now, id));
             }
             if (again) {
@@ -283,12 +289,12 @@
 
         private void begin(Sent sent, long timeout, long writtenBefore) {
             Endpoint endpoint = sent.endpoint();
-            Outcome refusal = endpoint == null ? Outcome.NO_CONNECTION : endpoint.refusal();
+            AttemptOutcome refusal = endpoint == null ? AttemptOutcome.NO_CONNECTION : endpoint.refusal();
             if (random.nextInt(500) == 0) {
-                refusal = Outcome.NOT_SENT;
+                refusal = AttemptOutcome.NOT_SENT;
             }
             if (refusal != null || now >= writtenBefore) {
-                end(sent, refusal == null ? Outcome.NOT_SENT : refusal, (1 + random.nextInt(3)) * MILLISECOND);
+                end(sent, refusal == null ? AttemptOutcome.NOT_SENT : refusal, (1 + random.nextInt(3)) * MILLISECOND);
                 return;
             }
             endpoint.inFlight++;
@@ -297,23 +303,23 @@
             long took = endpoint.serve(work);
             boolean fails = random.nextDouble() < (endpoint.failingProfile == profile ? 0.9 : endpoint.failing);
             if (endpoint.silent || took >= timeout) {
-                end(sent, Outcome.TIMED_OUT, timeout);
+                end(sent, AttemptOutcome.TIMED_OUT, timeout);
             } else if (fails) {
-                end(sent, random.nextInt(3) == 0 ? Outcome.BROKEN : Outcome.ERROR, took);
+                end(sent, random.nextInt(3) == 0 ? AttemptOutcome.BROKEN : AttemptOutcome.ERROR, took);
             } else {
                 if (random.nextInt(20) == 0) {
                     after(took / 2, () -> sent.by().streaming(sent.transaction(), sent.attempt()));
                 }
-                end(sent, Outcome.COMMITTED, took);
+                end(sent, AttemptOutcome.COMMITTED, took);
             }
         }
 
-        private void end(Sent sent, Outcome outcome, long took) {
+        private void end(Sent sent, AttemptOutcome outcome, long took) {
             long begun = now;
             after(took, () -> finish(sent, outcome, now - begun));
         }
 
-        private void finish(Sent sent, Outcome outcome, long took) {
+        private void finish(Sent sent, AttemptOutcome outcome, long took) {
             List<Sent> open = out.get(sent.transaction());
             if (sent.by() != balance || open == null || !open.remove(sent)) {
                 return;
@@ -321,7 +327,8 @@
             if (sent.endpoint() != null && sent.endpoint().inFlight > 0) {
                 sent.endpoint().inFlight--;
             }
-            balance.attemptEnded(now, sent.transaction(), sent.attempt(), outcome, took, outcome == Outcome.COMMITTED);
+            balance.attemptEnded(
+                    now, sent.transaction(), sent.attempt(), outcome, took, outcome == AttemptOutcome.COMMITTED);
         }
 
         @Override
@@ -329,13 +336,13 @@
             record(2, tx, attempt, 0, 0);
             for (Sent each : List.copyOf(out.getOrDefault(tx, List.of()))) {
                 if (each.attempt() == attempt) {
-                    end(each, Outcome.CALLED_OFF, MILLISECOND);
+                    end(each, AttemptOutcome.CALLED_OFF, MILLISECOND);
                 }
             }
         }
 
         @Override
-        public void rollBack(long tx, long pause, Refusal why) {
+        public void rollBack(long tx, long pause, RejectionReason why) {
             record(3, tx, pause, REASONS.indexOf(why), 0);
             if (scenario.clientsRetry() && random.nextInt(3) == 0) {
                 after(pause + 10 * MILLISECOND, () -> arrive(false));
@@ -343,14 +350,14 @@
         }
 
         @Override
-        public void abandon(long tx, Refusal why) {
+        public void abandon(long tx, RejectionReason why) {
             record(4, tx, REASONS.indexOf(why), 0, 0);
         }
 
         @Override
         public void wake(long span) {
             record(5, span, 0, 0, 0);
-            Balance woken = balance;
+            LoadBalancer woken = balance;
             after(span, () -> woken.woken(now));
         }
 
--- a/sidecar/src/test/java/trestlegrade/ListLeaseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
@@ -1,4 +1,4 @@
-package trestlegrade;
+package trestlegrade.policy.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,11 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import trestlegrade.Listed.State;
-import trestlegrade.Terms.Group;
+import trestlegrade.policy.PolicyHarness;
+import trestlegrade.policy.endpoint.EndpointUpdate.State;
+import trestlegrade.policy.request.AttemptOutcome;
+import trestlegrade.policy.request.RejectionReason;
+import trestlegrade.policy.settings.PolicySettings.Group;
 
 /** The lease of the list; times in tenths of a millisecond, confirmed at 100,000 first. */
-class ListLeaseTest {
+class EndpointListLeaseTest {
 
     /**
      * What happens at 130,000, and until when the list may be sent by; held up for 0.15 s it is still within the grace.
@@ -32,7 +35,7 @@
         "shorter grace, 10000, 160833"
     })
     void ends(String event, long grace, long end) {
-        ListLease lease = new ListLease(100_000, grace);
+        EndpointListLease lease = new EndpointListLease(100_000, grace);
         long now = 130_000;
         switch (event) {
             case "confirmed" -> lease.confirmed(now);
@@ -60,25 +63,25 @@
 
     @Test
     void aPermanentOneNeverEnds() {
-        assertTrue(ListLease.permanent().valid(Long.MAX_VALUE / 2));
+        assertTrue(EndpointListLease.permanent().valid(Long.MAX_VALUE / 2));
     }
 
     /** Nothing is sent past its end: no first attempt, none for what waited, and none behind one that failed. */
     @Test
     void decisionsSendNothingPastItsEnd() {
-        ListLease lease = new ListLease(1_000_000, 10_000);
-        Desk desk = new Desk(lease, Group.ALL, 3).fleet(State.READY, 0);
-        desk.now += ListLease.NOTICE + 6_900;
+        EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
+        PolicyHarness desk = new PolicyHarness(lease, Group.ALL, 3).fleet(State.READY, 0);
+        desk.now += EndpointListLease.NOTICE + 6_900;
         long open = desk.arrive(2);
         assertEquals(1, desk.sent.size());
         desk.now += 100;
-        desk.end(desk.last(), Outcome.NO_CONNECTION, 100);
+        desk.end(desk.last(), AttemptOutcome.NO_CONNECTION, 100);
         desk.arrive(0);
         assertEquals(1, desk.sent.size());
         assertEquals("rolled back " + open, desk.answers.get(0));
         assertEquals(2, desk.answers.size());
         assertEquals(0, desk.balance.held());
-        assertEquals(List.of(Refusal.STALE_LIST, Refusal.STALE_LIST), desk.refusals);
+        assertEquals(List.of(RejectionReason.STALE_LIST, RejectionReason.STALE_LIST), desk.refusals);
         lease.confirmed(desk.now);
         desk.pass(100);
         desk.arrive(0);
@@ -91,17 +94,17 @@
      */
     @Test
     void serversThatServeAreSentToWithoutDiscovery() {
-        ListLease lease = new ListLease(1_000_000, 10_000);
-        Desk desk = new Desk(lease, Group.ALL, 3).fleet(State.READY, 0);
-        desk.traffic(100_000, 100, Outcome.COMMITTED, 200);
+        EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
+        PolicyHarness desk = new PolicyHarness(lease, Group.ALL, 3).fleet(State.READY, 0);
+        desk.traffic(100_000, 100, AttemptOutcome.COMMITTED, 200);
         int before = desk.sent.size();
-        int drains = desk.traffic(67_000, 100, Outcome.TURNED_AWAY, 10);
+        int drains = desk.traffic(67_000, 100, AttemptOutcome.TURNED_AWAY, 10);
         assertTrue(drains < 3, drains + " to the one that drains");
         assertTrue(desk.sent.size() - before > 3_000, desk.sent.size() - before + " sent");
-        assertEquals(0, desk.traffic(433_000, 100, Outcome.COMMITTED, 200));
-        assertFalse(desk.refusals.contains(Refusal.STALE_LIST));
+        assertEquals(0, desk.traffic(433_000, 100, AttemptOutcome.COMMITTED, 200));
+        assertFalse(desk.refusals.contains(RejectionReason.STALE_LIST));
         lease.confirmed(desk.now);
-        assertTrue(desk.traffic(50_000, 100, Outcome.COMMITTED, 200) > 0);
+        assertTrue(desk.traffic(50_000, 100, AttemptOutcome.COMMITTED, 200) > 0);
     }
 
     /**
@@ -109,17 +112,17 @@
      */
     @Test
     void whatAServerServedLongAgoTellsNothing() {
-        ListLease lease = new ListLease(1_000_000, 10_000);
-        Desk desk = new Desk(lease, Group.ALL, 3).fleet(State.READY, 0);
+        EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
+        PolicyHarness desk = new PolicyHarness(lease, Group.ALL, 3).fleet(State.READY, 0);
         desk.now += 60_000;
         desk.arrive(0);
         desk.now += 500;
-        desk.end(desk.last(), Outcome.COMMITTED, 500);
+        desk.end(desk.last(), AttemptOutcome.COMMITTED, 500);
         desk.now += 66_400;
         desk.arrive(0);
         assertEquals(2, desk.sent.size());
         desk.now += 100;
-        desk.end(desk.last(), Outcome.ERROR, 100);
+        desk.end(desk.last(), AttemptOutcome.ERROR, 100);
         assertEquals(2, desk.sent.size());
         assertEquals(1, desk.answers.size());
     }
--- a/sidecar/src/test/java/trestlegrade/DiscoveryBackoffTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/retry/DiscoveryBackoffTest.java
@@ -1,4 +1,4 @@
-package trestlegrade;
+package trestlegrade.policy.retry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import trestlegrade.config.PolicySettingsReader;
 
 /**
  * A fleet before a discovery that takes calls in turn, one each 55 ms, and refuses those that have waited 2 s, which
@@ -26,7 +27,7 @@
 
     private static DiscoveryBackoff backoff(int sidecars, long seed) {
         return new DiscoveryBackoff(
-                TermsReader.ofLines("n_instances=" + sidecars + """
+                PolicySettingsReader.ofLines("n_instances=" + sidecars + """
 
                 membership_mode=on_request
                 safety.cold_from=0.2
--- a/sidecar/src/test/java/trestlegrade/sidecar/LatenessTest.java
+++ b/sidecar/src/test/java/trestlegrade/runtime/EventLoopLagTest.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,15 +15,15 @@
  * Seen beside load: of 20 transactions whose clients had left while the process was stopped, 20 were sent. The selector
  * had been interrupted, so timers ran first, and more than one pulse's time passed until the sockets were read.
  */
-class LatenessTest {
+class EventLoopLagTest {
     private long now;
     private Handler<Long> pulse;
     private final List<Handler<Long>> timers = new ArrayList<>();
-    private final Lateness lateness = new Lateness(
+    private final EventLoopLag lateness = new EventLoopLag(
             vertx(),
-            new Clock() {
+            new MonotonicClock() {
                 @Override
-                long now() {
+                public long now() {
                     return now;
                 }
             },
--- a/sidecar/src/test/java/trestlegrade/sidecar/TimerRoundingIoHandlerTest.java
+++ b/sidecar/src/test/java/trestlegrade/runtime/TimerRoundingIoHandlerTest.java
@@ -1,4 +1,4 @@
-package trestlegrade.sidecar;
+package trestlegrade.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import trestlegrade.metrics.Counters;
 
 class TimerRoundingIoHandlerTest {
 
--- a/sidecar/src/test/java/trestlegrade/benchlink/LinkTest.java
+++ b/sidecar/src/test/java/trestlegrade/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package trestlegrade.benchlink;
+package trestlegrade.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Frames in and out. */
-class LinkTest {
+class SimulatorAdapterTest {
     private static final String SETTINGS = """
             something.new=1,2
             membership_mode=on_request
@@ -44,7 +44,7 @@
 
     private static String talk(String hex) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Link(new ByteArrayInputStream(HexFormat.of().parseHex(hex)), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(HexFormat.of().parseHex(hex)), out).run();
         return HexFormat.of().formatHex(out.toByteArray());
     }
 
@@ -107,6 +107,6 @@
                 "0000000d00000001" + CLOCK + "03f20003000000290200000007",
             })
     void malformed(String hex) {
-        assertThrows(MalformedFrame.class, () -> talk(hex));
+        assertThrows(MalformedFrameException.class, () -> talk(hex));
     }
 }
