--- a/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
+++ b/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
@@ -106,7 +106,7 @@
     }
 
     /** The list, whole or only what changed; {@code old} marks a list kept from an earlier life. */
-    public void listed(long now, List<EndpointUpdate> rows, boolean whole, boolean old) {
+    public void onEndpointUpdates(long now, List<EndpointUpdate> rows, boolean whole, boolean old) {
         if (!old) {
             backoff.succeeded();
         }
@@ -158,12 +158,12 @@
     }
 
     /** A call for the list failed, or the subscription dropped. */
-    public void listFailed(long now) {
+    public void onEndpointListFailed(long now) {
         askListAt = now + backoff.afterFailure();
         stayAwake();
     }
 
-    public void arrived(long now, long id, int profile, int customer, long key, long patience, long cost) {
+    public void onArrival(long now, long id, int profile, int customer, long key, long patience, long cost) {
         // Those that the settings do not name have a place of their own, behind the others.
         int named = terms.customers().size();
         int known = customer >= 0 && customer < named ? customer : named;
@@ -180,14 +180,14 @@
     }
 
     /** The answer has begun to flow to the client: nothing is owed any more. */
-    public void streaming(long id, int attempt) {
+    public void onStreaming(long id, int attempt) {
         Transaction tx = txById.get(id);
         if (tx != null) {
             tx.streaming = true;
         }
     }
 
-    public void attemptEnded(long now, long id, int attempt, AttemptOutcome outcome, long took, boolean finished) {
+    public void onAttemptEnded(long now, long id, int attempt, AttemptOutcome outcome, long took, boolean finished) {
         Transaction tx = txById.get(id);
         if (tx == null || attempt >= tx.attempts.size() || tx.attempts.get(attempt).outcome != null) {
             return;
@@ -201,7 +201,7 @@
         forgetIfOver(tx);
     }
 
-    public void clientLeft(long now, long id) {
+    public void onClientDisconnected(long now, long id) {
         Transaction tx = txById.get(id);
         if (tx != null) {
             finish(tx);
@@ -215,7 +215,7 @@
         }
     }
 
-    public void woken(long now) {
+    public void onTick(long now) {
         awake = false;
         if (askListAt != 0 && now >= askListAt) {
             askListAt = 0;
@@ -237,7 +237,7 @@
     }
 
     /** The program ends: what is open has its final answer by then, whatever its client would wait. */
-    public void endBy(long end) {
+    public void shutDownBy(long end) {
         open.forEach(tx -> tx.end = Math.min(tx.end, end));
     }
 
@@ -245,17 +245,17 @@
     private void stayAwake() {
         if (!awake) {
             awake = true;
-            outlet.wake(BEAT);
+            outlet.scheduleTick(BEAT);
         }
     }
 
     /** Transactions that are not forgotten yet: those that are open, or have attempts out. */
-    public int held() {
+    public int heldTransactions() {
         return txById.size();
     }
 
     /** What is known of a server, or null. */
-    public Endpoint server(long id) {
+    public Endpoint endpoint(long id) {
         int index = serverIndex.getOrDefault(id, -1);
         return index < 0 ? null : servers.get(index);
     }
@@ -342,7 +342,7 @@
         if (terms.cancelling()) {
             for (int i = 0; i < tx.attempts.size(); i++) {
                 if (tx.attempts.get(i).outcome == null) {
-                    outlet.callOff(tx.id, i);
+                    outlet.cancel(tx.id, i);
                 }
             }
         }
@@ -418,7 +418,7 @@
                 && terms.profiles().get(tx.profile).repeat() != PolicySettings.Repeat.NON_IDEMPOTENT
                 && tx.attempts.size() < terms.maxAttempts()
                 && tx.end - now > expected(tx)) {
-            outlet.callOff(tx.id, tx.attempts.size() - 1);
+            outlet.cancel(tx.id, tx.attempts.size() - 1);
         }
     }
 
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -77,7 +77,7 @@
         this.watch = watch;
         put(list, () -> {
             tenure.balance.start(now);
-            tenure.balance.listed(now, roster.take(known, true), true, true);
+            tenure.balance.onEndpointUpdates(now, roster.take(known, true), true, true);
             // Where changes are said to arrive on their own they still come by the watch.
             watch.run();
         });
@@ -95,7 +95,7 @@
                 earlier.add(before);
             }
             tenure.balance.start(now);
-            tenure.balance.listed(now, roster.all(), true, true);
+            tenure.balance.onEndpointUpdates(now, roster.all(), true, true);
         });
     }
 
@@ -113,7 +113,7 @@
             open.put(exchange.id, exchange);
             exchange.tenure = tenure;
             tenure.taken++;
-            tenure.balance.arrived(
+            tenure.balance.onArrival(
                     now,
                     exchange.id,
                     exchange.profile,
@@ -136,7 +136,7 @@
         if (!exchange.over()) {
             exchange.clientLeft(counters);
             if (exchange.tenure != null) {
-                exchange.tenure.balance.clientLeft(now, exchange.id);
+                exchange.tenure.balance.onClientDisconnected(now, exchange.id);
             }
         }
     }
@@ -161,7 +161,7 @@
                 // Before the decisions think of a further attempt: that the client left may be told behind this.
                 leave(exchange);
             }
-            exchange.tenure.balance.attemptEnded(
+            exchange.tenure.balance.onAttemptEnded(
                     now, exchange.id, attempt.number, outcome, clock.now() - attempt.sent, exchange.over());
             forgetIfOver(exchange);
         });
@@ -170,20 +170,20 @@
     public void listed(JsonArray entries, boolean whole) {
         put(list, () -> {
             List<EndpointUpdate> rows = roster.take(entries, whole);
-            tenure.balance.listed(now, rows, whole, false);
-            earlier.forEach(each -> each.balance.listed(now, rows, whole, false));
+            tenure.balance.onEndpointUpdates(now, rows, whole, false);
+            earlier.forEach(each -> each.balance.onEndpointUpdates(now, rows, whole, false));
         });
     }
 
     public void listFailed() {
-        put(list, () -> tenure.balance.listFailed(now));
+        put(list, () -> tenure.balance.onEndpointListFailed(now));
     }
 
     /** All that has been taken has its final answer by then. */
     public void endBy(long end) {
         put(() -> {
-            tenure.balance.endBy(end);
-            earlier.forEach(each -> each.balance.endBy(end));
+            tenure.balance.shutDownBy(end);
+            earlier.forEach(each -> each.balance.shutDownBy(end));
         });
     }
 
@@ -194,8 +194,10 @@
 
     /** Transactions that the decisions still hold, under all settings in use. */
     int decidedOn() {
-        return tenure.balance.held()
-                + earlier.stream().mapToInt(each -> each.balance.held()).sum();
+        return tenure.balance.heldTransactions()
+                + earlier.stream()
+                        .mapToInt(each -> each.balance.heldTransactions())
+                        .sum();
     }
 
     /** The settings in force, and those under which transactions are still open. */
@@ -268,7 +270,7 @@
         }
 
         @Override
-        public void callOff(long tx, int attempt) {
+        public void cancel(long tx, int attempt) {
             attempts.callOff(open.get(tx).attempts.get(attempt));
         }
 
@@ -289,8 +291,8 @@
         }
 
         @Override
-        public void wake(long span) {
-            vertx.setTimer(Math.max(1, span / 10), t -> put(() -> balance.woken(now)));
+        public void scheduleTick(long span) {
+            vertx.setTimer(Math.max(1, span / 10), t -> put(() -> balance.onTick(now)));
         }
 
         @Override
--- a/sidecar/src/main/java/trestlegrade/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/SimulatorAdapter.java
@@ -117,20 +117,20 @@
                     int attempt = Byte.toUnsignedInt(batch.get());
                     skip(12);
                     if (instance != null) {
-                        instance.streaming(tx, attempt);
+                        instance.onStreaming(tx, attempt);
                     }
                 }
                 case 1040 -> ended(instance, now);
                 case 1050 -> {
                     long tx = u32();
                     if (instance != null) {
-                        instance.clientLeft(now, tx);
+                        instance.onClientDisconnected(now, tx);
                     }
                 }
                 case 1060 -> {
                     skip(8);
                     if (instance != null) {
-                        instance.woken(now);
+                        instance.onTick(now);
                     }
                 }
                 case 1070 -> {
@@ -158,7 +158,7 @@
         int ref = batch.getInt();
         if (scope == 0) {
             if (instance != null) {
-                instance.listFailed(now);
+                instance.onEndpointListFailed(now);
             }
             return;
         }
@@ -169,7 +169,7 @@
             throw new MalformedFrameException("a list of unknown number " + ref);
         }
         if (instance != null) {
-            instance.listed(now, lists.get(ref), scope != 4, scope == 1);
+            instance.onEndpointUpdates(now, lists.get(ref), scope != 4, scope == 1);
         }
     }
 
@@ -182,7 +182,7 @@
         double cost = batch.getDouble();
         int flags = batch.getShort();
         if (instance != null) {
-            instance.arrived(
+            instance.onArrival(
                     now, tx, profile, customer, key, tenths(patience), (flags & 1) != 0 && cost > 0 ? tenths(cost) : 0);
         }
     }
@@ -199,7 +199,7 @@
             throw new MalformedFrameException("an attempt of unknown outcome " + status);
         }
         if (instance != null) {
-            instance.attemptEnded(now, tx, attempt, OUTCOMES[status / 10 - 1], tenths(took), finished);
+            instance.onAttemptEnded(now, tx, attempt, OUTCOMES[status / 10 - 1], tenths(took), finished);
         }
     }
 
--- a/sidecar/src/main/java/trestlegrade/simulator/SimulatorReply.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/SimulatorReply.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void callOff(long tx, int attempt) {
+    public void cancel(long tx, int attempt) {
         record(1030, 5).putInt((int) tx).put((byte) attempt);
     }
 
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void wake(long span) {
+    public void scheduleTick(long span) {
         record(1040, 16).putDouble(span / 10.0).putLong(0);
     }
 
--- a/sidecar/src/test/java/trestlegrade/policy/DropRateTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/DropRateTest.java
@@ -31,7 +31,7 @@
     void dropRate(AttemptOutcome outcome, long took, int seconds, double least, double most) {
         PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         int attempts = desk.traffic(seconds * 10_000L, 103, outcome, took);
-        double drop = desk.balance.server(103).drop;
+        double drop = desk.balance.endpoint(103).drop;
         assertTrue(drop >= least && drop <= most, "drop rate " + drop);
         assertTrue(attempts > 0);
     }
@@ -44,7 +44,7 @@
         for (int i = 0; i < 3_000; i++) {
             int profile = i % 2 * 2;
             desk.now += 50;
-            desk.balance.woken(desk.now);
+            desk.balance.onTick(desk.now);
             desk.arrive(profile);
             PolicyHarness.Sent attempt = desk.last();
             boolean bad = attempt.server() >= 104;
@@ -66,7 +66,7 @@
         int[] attempts = new int[10];
         for (int i = 0; i < 3_000; i++) {
             desk.now += 100;
-            desk.balance.woken(desk.now);
+            desk.balance.onTick(desk.now);
             desk.arrive(2);
             PolicyHarness.Sent attempt = desk.last();
             attempts[(int) attempt.server() - 100]++;
@@ -82,14 +82,14 @@
     void upAndDown() {
         PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         desk.traffic(50_000, 103, AttemptOutcome.COMMITTED, 800);
-        assertTrue(desk.balance.server(103).drop <= 0.25 + 1e-9);
+        assertTrue(desk.balance.endpoint(103).drop <= 0.25 + 1e-9);
         desk.traffic(300_000, 103, AttemptOutcome.COMMITTED, 800);
-        assertEquals(1, desk.balance.server(103).drop);
+        assertEquals(1, desk.balance.endpoint(103).drop);
         assertTrue(desk.traffic(100_000, 103, AttemptOutcome.COMMITTED, 800) > 0, "the floor still gets attempts");
         desk.pass(360_000);
-        assertEquals(0.5, desk.balance.server(103).drop, 0.3, "few calls ease down");
+        assertEquals(0.5, desk.balance.endpoint(103).drop, 0.3, "few calls ease down");
         desk.pass(150_000);
-        assertEquals(0, desk.balance.server(103).drop);
+        assertEquals(0, desk.balance.endpoint(103).drop);
     }
 
     /** Everything slow at once grades nobody down. */
@@ -104,8 +104,8 @@
             desk.end(attempt, AttemptOutcome.COMMITTED, 1_000);
         }
         for (long id = 100; id < 110; id++) {
-            assertTrue(desk.balance.server(id).drop < 0.3);
-            assertFalse(desk.balance.server(id).shut);
+            assertTrue(desk.balance.endpoint(id).drop < 0.3);
+            assertFalse(desk.balance.endpoint(id).shut);
         }
     }
 
@@ -163,7 +163,8 @@
     @CsvSource({"1, 0.1", "0.5, 0.0526", "2, 0.1818"})
     void shares(double weight, double share) {
         PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
-        desk.balance.listed(desk.now, List.of(new EndpointUpdate(103, 0, 0, 1, State.READY, weight, 0)), false, false);
+        desk.balance.onEndpointUpdates(
+                desk.now, List.of(new EndpointUpdate(103, 0, 0, 1, State.READY, weight, 0)), false, false);
         int attempts = desk.traffic(100_000, 103, AttemptOutcome.COMMITTED, 200);
         assertEquals(share, attempts / (double) desk.sent.size(), 0.015);
     }
@@ -175,7 +176,7 @@
         PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         desk.traffic(20_000, -1, null, 0);
         int attempts = desk.traffic(50_000, 103, outcome, took);
-        assertTrue(desk.balance.server(103).shut);
+        assertTrue(desk.balance.endpoint(103).shut);
         assertTrue(attempts <= most, "still got " + attempts + " of about 2500 attempts");
         for (PolicyHarness.Sent each : List.copyOf(desk.sent)) {
             if (each.server() == 103) {
@@ -183,7 +184,7 @@
             }
         }
         desk.traffic(100_000, 103, AttemptOutcome.COMMITTED, 200);
-        assertFalse(desk.balance.server(103).shut);
+        assertFalse(desk.balance.endpoint(103).shut);
         int back = desk.traffic(20_000, 103, AttemptOutcome.COMMITTED, 200);
         assertTrue(back > 30, "only " + back + " of about 100 attempts");
     }
@@ -195,7 +196,7 @@
         desk.traffic(20_000, -1, null, 0);
         desk.traffic(7_000, 103, null, 0);
         assertEquals(List.of(), desk.answers);
-        assertTrue(desk.balance.server(103).shut);
+        assertTrue(desk.balance.endpoint(103).shut);
     }
 
     /** A sidecar with little traffic grades a slow kind down, from answers too few for any one server. */
@@ -203,7 +204,7 @@
     void fewAnswersAreBlendedWithTheKind() {
         PolicyHarness desk = new PolicyHarness();
         for (long id = 100; id < 110; id++) {
-            desk.balance.listed(
+            desk.balance.onEndpointUpdates(
                     desk.now, List.of(new EndpointUpdate(id, 0, id < 104 ? 1 : 0, 0, State.READY, 1, 0)), false, false);
         }
         for (int i = 0; i < 60; i++) {
@@ -215,7 +216,7 @@
             desk.pass(5_000 - took);
         }
         for (long id = 100; id < 110; id++) {
-            assertEquals(id < 104, desk.balance.server(id).drop > 0.3, "server " + id);
+            assertEquals(id < 104, desk.balance.endpoint(id).drop > 0.3, "server " + id);
         }
     }
 
@@ -249,7 +250,7 @@
         }
         long shut = 0;
         for (long id = 100; id < 110; id++) {
-            shut += desk.balance.server(id).shut ? 1 : 0;
+            shut += desk.balance.endpoint(id).shut ? 1 : 0;
         }
         assertTrue(shut > 0 && shut <= 6, shut + " shut out");
     }
@@ -341,17 +342,18 @@
             keyed(desk, other);
         }
         long first = keyed(desk, 77);
-        desk.balance.listed(desk.now, List.of(new EndpointUpdate(first, 0, 0, 0, State.READY, 0.05, 0)), false, false);
+        desk.balance.onEndpointUpdates(
+                desk.now, List.of(new EndpointUpdate(first, 0, 0, 0, State.READY, 0.05, 0)), false, false);
         assertTrue(keyed(desk, 77) != first);
-        assertEquals(desk.balance.server(first == 100 ? 101 : 100).points, desk.balance.server(first).points);
-        assertEquals(1, desk.balance.server(first).weight);
+        assertEquals(desk.balance.endpoint(first == 100 ? 101 : 100).points, desk.balance.endpoint(first).points);
+        assertEquals(1, desk.balance.endpoint(first).weight);
         // Half as much each three seconds: left alone, it is taken again.
         desk.pass(200_000);
         assertEquals(first, keyed(desk, 77));
     }
 
     private static long keyed(PolicyHarness desk, long key) {
-        desk.balance.arrived(desk.now, desk.nextTx++, 0, 0, key, 10_000, 0);
+        desk.balance.onArrival(desk.now, desk.nextTx++, 0, 0, key, 10_000, 0);
         PolicyHarness.Sent attempt = desk.last();
         desk.end(attempt, AttemptOutcome.COMMITTED, 200);
         return attempt.server();
--- a/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
+++ b/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
@@ -92,11 +92,12 @@
 
     public void list(long id, State state, long launched) {
         int cell = (int) (id - 100) / 2;
-        balance.listed(now, List.of(new EndpointUpdate(id, (int) id % 2, 0, cell, state, 1, launched)), false, false);
+        balance.onEndpointUpdates(
+                now, List.of(new EndpointUpdate(id, (int) id % 2, 0, cell, state, 1, launched)), false, false);
     }
 
     public long arrive(int profile) {
-        balance.arrived(now, nextTx, profile, 0, 0, 10_000, 0);
+        balance.onArrival(now, nextTx, profile, 0, 0, 10_000, 0);
         return nextTx++;
     }
 
@@ -110,13 +111,14 @@
     }
 
     public void end(Sent attempt, AttemptOutcome outcome, long took) {
-        balance.attemptEnded(now, attempt.tx(), attempt.attempt(), outcome, took, outcome == AttemptOutcome.COMMITTED);
+        balance.onAttemptEnded(
+                now, attempt.tx(), attempt.attempt(), outcome, took, outcome == AttemptOutcome.COMMITTED);
     }
 
     public void pass(long span) {
         for (long end = now + span; now < end; ) {
             now += 100;
-            balance.woken(now);
+            balance.onTick(now);
         }
     }
 
@@ -129,7 +131,7 @@
         for (long end = now + span; now < end; ) {
             now += 20;
             if (now % 100 == 0) {
-                balance.woken(now);
+                balance.onTick(now);
             }
             int before = sent.size();
             arrive(0);
@@ -158,7 +160,7 @@
     }
 
     @Override
-    public void callOff(long tx, int attempt) {
+    public void cancel(long tx, int attempt) {
         calledOff.add(tx);
     }
 
@@ -174,7 +176,7 @@
     }
 
     @Override
-    public void wake(long span) {}
+    public void scheduleTick(long span) {}
 
     @Override
     public void subscribe() {
--- a/sidecar/src/test/java/trestlegrade/policy/RulesTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/RulesTest.java
@@ -66,7 +66,7 @@
     void whatHasLeftIsForgotten() {
         PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         desk.traffic(50_000, 100, AttemptOutcome.ERROR, 100);
-        assertTrue(desk.balance.server(100).shut);
+        assertTrue(desk.balance.endpoint(100).shut);
         desk.arrive(0);
         PolicyHarness.Sent out = desk.last();
         for (int i = 0; i < 1_000; i++) {
@@ -74,17 +74,17 @@
             desk.list(old, State.GONE, 0);
             desk.traffic(200, -1, null, 0);
             desk.list(200 + i, State.READY, 0);
-            assertFalse(desk.balance.server(200 + i).shut);
-            assertEquals(0, desk.balance.server(200 + i).failedInRow);
+            assertFalse(desk.balance.endpoint(200 + i).shut);
+            assertEquals(0, desk.balance.endpoint(200 + i).failedInRow);
             // An attempt that is still out keeps its server apart until it ends.
-            assertTrue(i >= 9 || desk.balance.server(out.server()) != null, "generation " + i);
-            assertTrue(i < 20 || desk.balance.server(200 + i - 20) == null, "generation " + i);
-            assertTrue(desk.balance.server(200 + i).index <= 11, "place " + desk.balance.server(200 + i).index);
+            assertTrue(i >= 9 || desk.balance.endpoint(out.server()) != null, "generation " + i);
+            assertTrue(i < 20 || desk.balance.endpoint(200 + i - 20) == null, "generation " + i);
+            assertTrue(desk.balance.endpoint(200 + i).index <= 11, "place " + desk.balance.endpoint(200 + i).index);
             if (i == 8) {
                 desk.end(out, AttemptOutcome.ERROR, 100);
             }
         }
-        assertEquals(0, desk.balance.server(1_199).failedInRow);
+        assertEquals(0, desk.balance.endpoint(1_199).failedInRow);
     }
 
     /** The clock here stepped back by an hour: a server that starts is cold from now on, and warm in its time. */
@@ -92,13 +92,13 @@
     void aStartInTheFutureIsOneAtThisMoment() {
         PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         desk.list(100, State.READY, desk.now + 36_000_000);
-        assertEquals(desk.now, desk.balance.server(100).coldSince);
+        assertEquals(desk.now, desk.balance.endpoint(100).coldSince);
         // Told once more, it has not started again.
         long started = desk.now;
         desk.pass(50_000);
         desk.list(100, State.READY, started + 36_000_000);
-        assertEquals(started, desk.balance.server(100).coldSince);
-        assertEquals(0, desk.balance.server(101).coldSince);
+        assertEquals(started, desk.balance.endpoint(100).coldSince);
+        assertEquals(0, desk.balance.endpoint(101).coldSince);
     }
 
     /** However it is given up, nothing of a transaction is held once it has its answer and no attempt is out. */
@@ -109,7 +109,7 @@
         for (int i = 0; i < 1_000; i++) {
             desk.arrive(i % 3);
             if (cause.equals("FAILED")) {
-                while (desk.balance.held() > 0) {
+                while (desk.balance.heldTransactions() > 0) {
                     desk.end(desk.last(), AttemptOutcome.NO_CONNECTION, 10);
                 }
             } else if (cause.equals("COLD")) {
@@ -121,7 +121,7 @@
             List.copyOf(desk.sent).forEach(each -> desk.end(each, AttemptOutcome.TIMED_OUT, 10_000));
         }
         desk.pass(20_000);
-        assertEquals(0, desk.balance.held());
+        assertEquals(0, desk.balance.heldTransactions());
         assertEquals(1_000, desk.answers.size());
     }
 
@@ -129,7 +129,7 @@
     @Test
     void windowCountsFromTheFirstAttemptThatMayHaveRun() {
         PolicyHarness desk = new PolicyHarness(Group.CELL, 3).fleet(State.READY, 0);
-        desk.balance.arrived(desk.now, 9, 1, 0, 0, 100_000, 0);
+        desk.balance.onArrival(desk.now, 9, 1, 0, 0, 100_000, 0);
         desk.now += 19_500;
         desk.end(desk.last(), AttemptOutcome.BROKEN, 19_500);
         assertEquals(1, desk.sent.size());
@@ -144,7 +144,7 @@
         desk.traffic(20_000, -1, null, 0);
         List.copyOf(desk.sent).forEach(attempt -> desk.end(attempt, AttemptOutcome.COMMITTED, 200));
         int before = desk.sent.size();
-        desk.balance.arrived(desk.now, 99_999, profile, 0, 0, 20_000, 0);
+        desk.balance.onArrival(desk.now, 99_999, profile, 0, 0, 20_000, 0);
         desk.pass(12_500);
         assertEquals(before + 1, desk.sent.size());
         assertEquals(attempts > 1, desk.calledOff.contains(99_999L));
@@ -174,7 +174,7 @@
         desk.pass(10_200);
         assertEquals(List.of(expected + " " + tx), desk.answers);
         desk.end(attempt, AttemptOutcome.BROKEN, 10_300);
-        desk.balance.clientLeft(desk.now, tx);
+        desk.balance.onClientDisconnected(desk.now, tx);
         desk.pass(20_000);
         assertEquals(1, desk.sent.size());
         assertEquals(1, desk.answers.size());
@@ -184,11 +184,11 @@
     void noAnswerIsOwedOnceTheClientHasLeftOrHasIts() {
         PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         long left = desk.arrive(0);
-        desk.balance.clientLeft(desk.now, left);
+        desk.balance.onClientDisconnected(desk.now, left);
         desk.end(desk.last(), AttemptOutcome.ERROR, 100);
         desk.arrive(2);
         desk.end(desk.last(), AttemptOutcome.COMMITTED, 100);
-        desk.balance.clientLeft(desk.now, 12345);
+        desk.balance.onClientDisconnected(desk.now, 12345);
         desk.pass(20_000);
         assertEquals(2, desk.sent.size());
         assertEquals(List.of(), desk.answers);
@@ -222,7 +222,8 @@
         PolicyHarness desk = new PolicyHarness(Group.ALL, 3).fleet(State.READY, 0);
         desk.arrive(1);
         if (how.equals("missing")) {
-            desk.balance.listed(desk.now, List.of(new EndpointUpdate(105, 1, 0, 2, State.READY, 1, 0)), true, false);
+            desk.balance.onEndpointUpdates(
+                    desk.now, List.of(new EndpointUpdate(105, 1, 0, 2, State.READY, 1, 0)), true, false);
         } else {
             for (long id = 100; id < 110; id++) {
                 if (id != 105) {
@@ -246,7 +247,7 @@
         PolicyHarness desk = new PolicyHarness().fleet(State.READY, 0);
         long[] costs = {50, 1_000, 1_000, 1_000, 1_300};
         for (int i = 0; i < costs.length; i++) {
-            desk.balance.arrived(desk.now, i + 1, 0, 0, 0, 10_000, costs[i]);
+            desk.balance.onArrival(desk.now, i + 1, 0, 0, 0, 10_000, costs[i]);
             desk.pass(200);
             desk.end(desk.last(), i == costs.length - 1 ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.COMMITTED, 200);
         }
@@ -260,7 +261,7 @@
         PolicyHarness desk = new PolicyHarness();
         assertEquals(1, desk.subscriptions);
         for (int i = 0; i < 10; i++) {
-            desk.balance.listFailed(desk.now);
+            desk.balance.onEndpointListFailed(desk.now);
             desk.pass(100_000 * 3 / 4);
             assertEquals(2 + i, desk.subscriptions);
         }
@@ -275,7 +276,7 @@
         for (int seed = 0; seed < 50; seed++) {
             PolicyHarness desk = new PolicyHarness(seed, Group.CELL, 3, "safety.ask_within=" + askWithin);
             for (int i = 0; i < 12; i++) {
-                desk.balance.listFailed(desk.now);
+                desk.balance.onEndpointListFailed(desk.now);
                 int before = desk.subscriptions;
                 desk.pass(27_600);
                 assertEquals(before + 1, desk.subscriptions);
@@ -289,7 +290,7 @@
         PolicyHarness desk = new PolicyHarness("tenants.count=2", "tenants.0.share=0.5", "tenants.1.share=0.5")
                 .fleet(State.READY, 0);
         for (int i = 0; i < 100; i++) {
-            desk.balance.arrived(
+            desk.balance.onArrival(
                     desk.now, 1_000 + i, 0, i % 10 == 0 ? 0 : i % 10 == 1 ? 1 : i % 10 == 2 ? 7 : -1, 0, 10_000, 0);
         }
         assertFalse(desk.balance.overShare(desk.now, new Transaction(1, 0, 0, desk.now, desk.now + 10_000, 0)));
@@ -306,7 +307,7 @@
             for (long failed = desk.now; failed - 1_000_000 < 300_000; failed = desk.now + 20_000) {
                 desk.pass(failed - desk.now);
                 int before = desk.subscriptions;
-                desk.balance.listFailed(desk.now);
+                desk.balance.onEndpointListFailed(desk.now);
                 while (desk.subscriptions == before) {
                     desk.pass(100);
                 }
--- a/sidecar/src/test/java/trestlegrade/policy/SlowStartFleetTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/SlowStartFleetTest.java
@@ -107,11 +107,11 @@
 
         void restart(List<EndpointUpdate> rows) {
             start();
-            balance.listed(now, rows, true, true);
+            balance.onEndpointUpdates(now, rows, true, true);
         }
 
         private void arrive() {
-            balance.arrived(now, nextTx++, 0, 0, 0, 15_000, 0);
+            balance.onArrival(now, nextTx++, 0, 0, 0, 15_000, 0);
             in(-Math.log(1 - random.nextDouble()) * SECOND / (rate * busier), this::arrive);
         }
 
@@ -121,11 +121,11 @@
             count(server);
             double took = WORK * (0.5 + random.nextDouble()) / warmth(server);
             LoadBalancer sender = balance;
-            in(took, () -> sender.attemptEnded(now, tx, attempt, AttemptOutcome.COMMITTED, (long) took, true));
+            in(took, () -> sender.onAttemptEnded(now, tx, attempt, AttemptOutcome.COMMITTED, (long) took, true));
         }
 
         @Override
-        public void callOff(long tx, int attempt) {}
+        public void cancel(long tx, int attempt) {}
 
         @Override
         public void rollBack(long tx, long pause, RejectionReason why) {}
@@ -134,9 +134,9 @@
         public void abandon(long tx, RejectionReason why) {}
 
         @Override
-        public void wake(long span) {
+        public void scheduleTick(long span) {
             LoadBalancer woken = balance;
-            in((double) span, () -> woken.woken(now));
+            in((double) span, () -> woken.onTick(now));
         }
 
         @Override
@@ -244,7 +244,7 @@
         };
         if (known) {
             start.run();
-            fleet.forEach(each -> each.balance.listed(now, rows, true, true));
+            fleet.forEach(each -> each.balance.onEndpointUpdates(now, rows, true, true));
             pass(12 * SECOND);
         }
         for (int i = 0; i < cold; i++) {
@@ -255,7 +255,7 @@
         if (!known) {
             start.run();
         }
-        fleet.forEach(each -> in(random.nextInt(5_000), () -> each.balance.listed(now, rows, true, !known)));
+        fleet.forEach(each -> in(random.nextInt(5_000), () -> each.balance.onEndpointUpdates(now, rows, true, !known)));
         pass(3 * SECOND);
         fleet.stream()
                 .filter(each -> random.nextDouble() < restarted)
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -109,7 +109,7 @@
     }
 
     void endSidecarsBy(long span) {
-        sidecars.forEach(each -> each.balance.endBy(now + span));
+        sidecars.forEach(each -> each.balance.shutDownBy(now + span));
     }
 
     /** Every endpoint and discovery are well again. */
@@ -256,7 +256,7 @@
             toldVersion = listVersion;
             List<EndpointUpdate> rows = endpoints.stream().map(Endpoint::row).toList();
             boolean whole = random.nextInt(5) != 0;
-            balance.listed(now, rows, whole, old);
+            balance.onEndpointUpdates(now, rows, whole, old);
         }
 
         private void arrive(boolean again) {
@@ -267,10 +267,10 @@
             long patience = (300 + random.nextInt(700)) * MILLISECOND;
             long cost = random.nextInt(4) == 0 ? 0 : 500 + random.nextInt(1_000);
             profiles.put(id, profile);
-            balance.arrived(now, id, profile, customer, key, patience, cost);
+            balance.onArrival(now, id, profile, customer, key, patience, cost);
             if (random.nextInt(100) == 0) {
                 LoadBalancer taker = balance;
-                after(random.nextInt(100) * MILLISECOND, () -> taker.clientLeft(now, id));
+                after(random.nextInt(100) * MILLISECOND, () -> taker.onClientDisconnected(now, id));
             }
             if (again) {
                 double rate = scenario.arrivalsPerSecond(((now / SECOND) - 1_000) % 30);
@@ -308,7 +308,7 @@
                 end(sent, random.nextInt(3) == 0 ? AttemptOutcome.BROKEN : AttemptOutcome.ERROR, took);
             } else {
                 if (random.nextInt(20) == 0) {
-                    after(took / 2, () -> sent.by().streaming(sent.transaction(), sent.attempt()));
+                    after(took / 2, () -> sent.by().onStreaming(sent.transaction(), sent.attempt()));
                 }
                 end(sent, AttemptOutcome.COMMITTED, took);
             }
@@ -327,12 +327,12 @@
             if (sent.endpoint() != null && sent.endpoint().inFlight > 0) {
                 sent.endpoint().inFlight--;
             }
-            balance.attemptEnded(
+            balance.onAttemptEnded(
                     now, sent.transaction(), sent.attempt(), outcome, took, outcome == AttemptOutcome.COMMITTED);
         }
 
         @Override
-        public void callOff(long tx, int attempt) {
+        public void cancel(long tx, int attempt) {
             record(2, tx, attempt, 0, 0);
             for (Sent each : List.copyOf(out.getOrDefault(tx, List.of()))) {
                 if (each.attempt() == attempt) {
@@ -355,10 +355,10 @@
         }
 
         @Override
-        public void wake(long span) {
+        public void scheduleTick(long span) {
             record(5, span, 0, 0, 0);
             LoadBalancer woken = balance;
-            after(span, () -> woken.woken(now));
+            after(span, () -> woken.onTick(now));
         }
 
         @Override
@@ -369,7 +369,7 @@
                     lease.confirmed(now);
                     list(false);
                 } else {
-                    balance.listFailed(now);
+                    balance.onEndpointListFailed(now);
                 }
             });
         }
--- a/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
@@ -80,7 +80,7 @@
         assertEquals(1, desk.sent.size());
         assertEquals("rolled back " + open, desk.answers.get(0));
         assertEquals(2, desk.answers.size());
-        assertEquals(0, desk.balance.held());
+        assertEquals(0, desk.balance.heldTransactions());
         assertEquals(List.of(RejectionReason.STALE_LIST, RejectionReason.STALE_LIST), desk.refusals);
         lease.confirmed(desk.now);
         desk.pass(100);
