--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/EndpointUpdate.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/EndpointUpdate.java
@@ -1,6 +1,9 @@
 package trestlegrade.policy.endpoint;
 
-/** What the list of endpoints says of one of them; {@code launched} is 0 when it started long ago. */
+/**
+ * What the endpoint list says of one endpoint. {@code launched} is when it last started, 0 when that is long ago; ticks
+ * of 0.1 ms.
+ */
 public record EndpointUpdate(long id, int zone, int kind, int cell, State state, double weight, long launched) {
 
     /** The same once it takes nothing new. */
--- /dev/null
+++ b/sidecar/src/main/java/trestlegrade/policy/health/HalfOpenProbes.java
@@ -0,0 +1,62 @@
+package trestlegrade.policy.health;
+
+import trestlegrade.policy.admission.SlowStartBudget;
+import trestlegrade.policy.endpoint.Endpoint;
+import trestlegrade.policy.endpoint.EndpointTable;
+import trestlegrade.policy.endpoint.FleetSummary;
+import trestlegrade.policy.lease.EndpointListLease;
+import trestlegrade.policy.random.SeededRandom;
+import trestlegrade.policy.request.Transaction;
+import trestlegrade.policy.retry.RetryPolicy;
+
+/**
+ * Sends a few first attempts as half-open probes to ejected endpoints, one at a time to each, so that they are taken
+ * back. Only transactions that may be repeated when the probe fails are used. Rules 3 and 4 hold for probes too.
+ */
+public final class HalfOpenProbes {
+    /** Of the first attempts at the most: a quarter of what the retry budget adds. */
+    private static final double LARGEST_PART = 0.05;
+
+    private final EndpointTable endpoints;
+    private final FleetSummary fleet;
+    private final RetryPolicy retryPolicy;
+    private final SlowStartBudget slowStartBudget;
+    private final EndpointListLease lease;
+    private final SeededRandom random;
+
+    /** Changes nothing but the random source, from which it draws while any endpoint is ejected. */
+    public HalfOpenProbes(
+            EndpointTable endpoints,
+            FleetSummary fleet,
+            RetryPolicy retryPolicy,
+            SlowStartBudget slowStartBudget,
+            EndpointListLease lease,
+            SeededRandom random) {
+        this.endpoints = endpoints;
+        this.fleet = fleet;
+        this.retryPolicy = retryPolicy;
+        this.slowStartBudget = slowStartBudget;
+        this.lease = lease;
+        this.random = random;
+    }
+
+    /** The ejected endpoint that this transaction shall probe, or null. */
+    public Endpoint endpointToProbe(long now, Transaction transaction) {
+        if (fleet.ejected() == 0
+                || transaction.hasAttempts()
+                || random.next() >= LARGEST_PART
+                || !retryPolicy.isIdempotent(transaction)) {
+            return null;
+        }
+        for (int i = 0; i < endpoints.size(); i++) {
+            Endpoint endpoint = endpoints.get(i);
+            if (endpoint.isInUse()
+                    && endpoint.ejection().isProbeDue(now)
+                    && now < lease.end(endpoint.serviceProof().servedAt())
+                    && slowStartBudget.admits(now, transaction, endpoint, false)) {
+                return endpoint;
+            }
+        }
+        return null;
+    }
+}
--- /dev/null
+++ b/sidecar/src/main/java/trestlegrade/policy/request/Attempt.java
@@ -0,0 +1,62 @@
+package trestlegrade.policy.request;
+
+import trestlegrade.policy.endpoint.Endpoint;
+
+/** One attempt of a transaction at one endpoint. Times are ticks of 0.1 ms. */
+public final class Attempt {
+    /** With heavy tails one attempt in a hundred takes ten times as long, and a second's mean would go by it. */
+    private static final double LONGEST_COUNTED = 3;
+
+    private final Endpoint endpoint;
+    private final long sentAt;
+    private final double expectedTicks;
+    private final boolean probe;
+    private AttemptOutcome outcome;
+
+    /**
+     * Begins an attempt.
+     *
+     * @param expectedTicks how long it was expected to take when it was sent
+     * @param probe whether it is a half-open probe of an ejected endpoint
+     */
+    public Attempt(Endpoint endpoint, long sentAt, double expectedTicks, boolean probe) {
+        this.endpoint = endpoint;
+        this.sentAt = sentAt;
+        this.expectedTicks = expectedTicks;
+        this.probe = probe;
+    }
+
+    public Endpoint endpoint() {
+        return endpoint;
+    }
+
+    public long sentAt() {
+        return sentAt;
+    }
+
+    public double expectedTicks() {
+        return expectedTicks;
+    }
+
+    /** For how long an attempt of this age or latency counts in a mean: three times the expected at the most. */
+    public double countedTicks(long ticks) {
+        return Math.min((double) ticks, LONGEST_COUNTED * expectedTicks);
+    }
+
+    public boolean isProbe() {
+        return probe;
+    }
+
+    /** How it ended, or null while it is in flight. */
+    public AttemptOutcome outcome() {
+        return outcome;
+    }
+
+    public boolean inFlight() {
+        return outcome == null;
+    }
+
+    void end(AttemptOutcome with) {
+        outcome = with;
+    }
+}
--- a/sidecar/src/main/java/trestlegrade/policy/request/AttemptOutcome.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/AttemptOutcome.java
@@ -4,16 +4,35 @@
 public enum AttemptOutcome {
     COMMITTED(false),
     ERROR(false),
+    /** The endpoint rejected it unprocessed. */
     TURNED_AWAY(true),
     TIMED_OUT(false),
     NO_CONNECTION(true),
+    /** The connection broke before the response was complete. */
     BROKEN(false),
+    /** Cancelled by this sidecar. */
     CALLED_OFF(false),
+    /** Never written: the connection came too late. */
     NOT_SENT(true);
 
-    public final boolean neverRan;
+    private final boolean neverRan;
 
     AttemptOutcome(boolean neverRan) {
         this.neverRan = neverRan;
     }
+
+    /** Whether the endpoint certainly did not run the transaction. */
+    public boolean neverRan() {
+        return neverRan;
+    }
+
+    /** Whether the attempt cost the endpoint work: it was reached, as far as is known. */
+    public boolean reachedEndpoint() {
+        return this != NO_CONNECTION && this != NOT_SENT;
+    }
+
+    /** Whether this sidecar ended the attempt before it could tell anything of the endpoint. */
+    public boolean isUninformative() {
+        return this == CALLED_OFF || this == NOT_SENT;
+    }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/request/RejectionReason.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/RejectionReason.java
@@ -1,17 +1,17 @@
 package trestlegrade.policy.request;
 
-/** Why a transaction is given up: told with its final answer, counted and logged. */
+/** Why a transaction is rejected: given with its final answer, counted and logged. */
 public enum RejectionReason {
-    /** The list of servers has not been confirmed for too long: any of them may drain. */
+    /** The endpoint list has not been confirmed for too long: any endpoint may be draining. */
     STALE_LIST,
-    /** Early rollback: the expected wait spoils the service goal, or the customer is over its share. */
+    /** Shed: the expected wait misses the latency objective, or the customer is over its quota. */
     OVERLOAD,
-    /** No listed server may take it. */
+    /** No listed endpoint may take it. */
     NO_SERVER,
-    /** Its deadline has come. */
+    /** Its deadline has passed. */
     DEADLINE,
-    /** An attempt failed, and there is too little time for another. */
+    /** An attempt failed, and the time left is too short for a retry. */
     LITTLE_TIME,
-    /** An attempt failed, and the budget for further attempts is used up. */
+    /** An attempt failed, and the retry budget is used up. */
     RETRY_BUDGET
 }
--- a/sidecar/src/main/java/trestlegrade/policy/request/Transaction.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/Transaction.java
@@ -4,72 +4,169 @@
 import java.util.List;
 import trestlegrade.policy.endpoint.Endpoint;
 
-/** One transaction from its arrival until its last attempt has ended, and what its attempts went through. */
+/**
+ * One transaction from its arrival until its last attempt has ended. Times are ticks of 0.1 ms; at most one attempt is
+ * in flight.
+ */
 public final class Transaction {
+    /** The key position of a transaction without a key. */
+    public static final long NO_KEY_POSITION = -1;
 
-    /** One attempt; {@code outcome} is null while it is out. */
-    public static final class Attempt {
-        public final Endpoint server;
-        public final long sent;
-        public final double expected;
-        public final boolean trial;
-        public AttemptOutcome outcome;
-
-        public Attempt(Endpoint server, long sent, double expected, boolean trial) {
-            this.server = server;
-            this.sent = sent;
-            this.expected = expected;
-            this.trial = trial;
-        }
-    }
-
-    public final long id;
-    public final int profile;
-    public final int customer;
-    public final long arrived;
-    public long end;
-    public final long cost;
-    public final List<Attempt> attempts = new ArrayList<>(3);
-    /** Where on the ring its key lies, or -1. */
-    public long position = -1;
+    private static final int USUAL_ATTEMPTS = 3;
 
-    public int out;
-    public boolean done;
-    public boolean streaming;
+    private final long id;
+    private final int profile;
+    private final int customer;
+    private final long arrivedAt;
+    private final long costHint;
+    private final List<Attempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+    private long deadline;
+    private long keyPosition = NO_KEY_POSITION;
+    private int attemptsInFlight;
+    private boolean answered;
+    private boolean streaming;
 
-    public Transaction(long id, int profile, int customer, long arrived, long end, long cost) {
+    /**
+     * Begins with no attempt.
+     *
+     * @param profile index into the settings' profiles
+     * @param customer index into the settings' customers, or their number for all that are not named there
+     * @param costHint the client's estimate of its work, 0 if it gave none
+     */
+    public Transaction(long id, int profile, int customer, long arrivedAt, long deadline, long costHint) {
         this.id = id;
         this.profile = profile;
         this.customer = customer;
-        this.arrived = arrived;
-        this.end = end;
-        this.cost = cost;
+        this.arrivedAt = arrivedAt;
+        this.deadline = deadline;
+        this.costHint = costHint;
+    }
+
+    public long id() {
+        return id;
+    }
+
+    public int profile() {
+        return profile;
+    }
+
+    public int customer() {
+        return customer;
+    }
+
+    public long arrivedAt() {
+        return arrivedAt;
+    }
+
+    public long deadline() {
+        return deadline;
+    }
+
+    public long costHint() {
+        return costHint;
+    }
+
+    /** Brings the deadline forward; a later one changes nothing. */
+    public void limitDeadline(long latest) {
+        deadline = Math.min(deadline, latest);
+    }
+
+    /** The ring position of its key, or {@link #NO_KEY_POSITION}. */
+    public long keyPosition() {
+        return keyPosition;
+    }
+
+    /** Sets the ring position of its key. */
+    public void setKeyPosition(long position) {
+        keyPosition = position;
+    }
+
+    public List<Attempt> attempts() {
+        return attempts;
+    }
+
+    public boolean hasAttempts() {
+        return !attempts.isEmpty();
+    }
+
+    /** The latest attempt; there must be one. */
+    public Attempt lastAttempt() {
+        return attempts.get(attempts.size() - 1);
+    }
+
+    public int attemptsInFlight() {
+        return attemptsInFlight;
+    }
+
+    /** Whether its final answer has been given, or its client has disconnected. */
+    public boolean isAnswered() {
+        return answered;
+    }
+
+    /** Marks it as answered. */
+    public void markAnswered() {
+        answered = true;
+    }
+
+    /** Whether the response has begun to flow to the client. */
+    public boolean isStreaming() {
+        return streaming;
+    }
+
+    /** Marks it as streaming. */
+    public void markStreaming() {
+        streaming = true;
+    }
+
+    /** Whether nothing more can happen to it. */
+    public boolean isOver() {
+        return answered && attemptsInFlight == 0;
+    }
+
+    /** Adds an attempt that is now in flight. */
+    public void addAttempt(Attempt attempt) {
+        attempts.add(attempt);
+        attemptsInFlight++;
+    }
+
+    /** Ends an attempt: the attempt, or null if there is none of that number in flight. */
+    public Attempt endAttempt(int number, AttemptOutcome outcome) {
+        if (number >= attempts.size() || !attempts.get(number).inFlight()) {
+            return null;
+        }
+        Attempt attempt = attempts.get(number);
+        attempt.end(outcome);
+        attemptsInFlight--;
+        return attempt;
     }
 
-    public boolean tried(Endpoint server) {
-        for (Attempt attempt : attempts) {
-            if (attempt.server == server) {
+    /** Whether an attempt was sent to this endpoint. */
+    public boolean wasSentTo(Endpoint endpoint) {
+        for (int i = 0; i < attempts.size(); i++) {
+            if (attempts.get(i).endpoint() == endpoint) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether an attempt before reached a server, so that one more adds to the servers' work. */
-    public boolean costly() {
-        for (Attempt attempt : attempts) {
-            if (attempt.outcome != AttemptOutcome.NO_CONNECTION && attempt.outcome != AttemptOutcome.NOT_SENT) {
+    /** Whether an earlier attempt reached an endpoint, so that a retry adds to the endpoints' work. */
+    public boolean retryAddsWork() {
+        for (int i = 0; i < attempts.size(); i++) {
+            AttemptOutcome outcome = attempts.get(i).outcome();
+            if (outcome == null || outcome.reachedEndpoint()) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The first attempt that ran or may have run (one still out may run), or null. */
-    public Attempt mayHaveRun() {
-        for (Attempt attempt : attempts) {
-            if (attempt.outcome == null || !attempt.outcome.neverRan) {
-                return attempt;
+    /** The first attempt that ran or may have run (one in flight may run), or null. */
+    public Attempt firstThatMayHaveRun() {
+        for (int i = 0; i < attempts.size(); i++) {
+            AttemptOutcome outcome = attempts.get(i).outcome();
+            if (outcome == null || !outcome.neverRan()) {
+                return attempts.get(i);
             }
         }
         return null;
--- a/sidecar/src/main/java/trestlegrade/policy/selection/HashRing.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/HashRing.java
@@ -5,63 +5,80 @@
 import trestlegrade.policy.endpoint.Endpoint;
 import trestlegrade.policy.random.SeededRandom;
 
-/** The points of all servers in order of position, the same at every sidecar with the same list. */
+/**
+ * A consistent-hash ring: the points of all endpoints in order of position, the same at every sidecar with the same
+ * list. A point packs its position (32 bits), its endpoint's index (20) and its ordinal among that endpoint's points
+ * (10).
+ */
 public final class HashRing {
-    // A point: its position (32 bits), its server's index (20) and which of that server's points it is (10).
-    private static final int ORDINAL = 10;
-    private static final int POSITION = 30;
-    public static final int MOST_POINTS = 1 << ORDINAL;
+    private static final int ORDINAL_BITS = 10;
+    private static final int POSITION_SHIFT = 30;
+    /** The most points that one endpoint can have. */
+    public static final int MOST_POINTS = 1 << ORDINAL_BITS;
 
     private long[] points = new long[0];
 
     /**
-     * Brings each server's points to the number it shall have. Only those of servers whose number changed are laid
-     * anew: all of them at each change of a growing list cost most of the time.
+     * Gives each endpoint as many points as its {@link Endpoint#ringPoints}. Only those of endpoints whose number
+     * changed are computed anew, since a long list grows by many small changes.
      */
-    public void lay(List<Endpoint> servers, SeededRandom chance) {
-        int n = 0;
-        for (Endpoint server : servers) {
-            n += server.points;
+    public void lay(List<Endpoint> endpoints, SeededRandom random) {
+        int count = 0;
+        for (Endpoint endpoint : endpoints) {
+            count += endpoint.ringPoints();
         }
-        long[] laid = new long[n];
+        long[] laid = new long[count];
         int kept = 0;
         for (long point : points) {
-            Endpoint server = servers.get(owner(point));
-            if (server.points == server.laid) {
+            if (!hasChanged(endpoints.get(indexOf(point)))) {
                 laid[kept++] = point;
             }
         }
-        int at = kept;
-        for (Endpoint server : servers) {
-            for (int ordinal = 0; ordinal < server.points && server.points != server.laid; ordinal++) {
-                laid[at++] = chance.position(server.id, ordinal) << POSITION | (long) server.index << ORDINAL | ordinal;
+        int next = kept;
+        for (Endpoint endpoint : endpoints) {
+            if (hasChanged(endpoint)) {
+                for (int ordinal = 0; ordinal < endpoint.ringPoints(); ordinal++) {
+                    laid[next++] = point(random.position(endpoint.id(), ordinal), endpoint.index(), ordinal);
+                }
             }
-            server.laid = server.points;
+            endpoint.onRingLaid();
         }
-        Arrays.sort(laid, kept, n);
+        // The kept points are in order, so that sorting both parts one after the other is faster than all at once.
+        Arrays.sort(laid, kept, count);
         Arrays.sort(laid);
         points = laid;
     }
 
+    private static boolean hasChanged(Endpoint endpoint) {
+        return endpoint.ringPoints() != endpoint.laidRingPoints();
+    }
+
+    /** Number of points. */
     public int size() {
         return points.length;
     }
 
     /** The place of the first point at or after a position. */
-    public int from(long position) {
-        int at = Arrays.binarySearch(points, position << POSITION);
-        return (at < 0 ? -at - 1 : at) % Math.max(1, points.length);
+    public int placeFrom(long position) {
+        int found = Arrays.binarySearch(points, position << POSITION_SHIFT);
+        return (found < 0 ? -found - 1 : found) % Math.max(1, points.length);
     }
 
-    public int owner(int place) {
-        return owner(points[place]);
+    /** The index of the endpoint whose point is at that place. */
+    public int endpointIndex(int place) {
+        return indexOf(points[place]);
     }
 
+    /** Which of its endpoint's points is at that place. */
     public int ordinal(int place) {
-        return (int) points[place] & (1 << ORDINAL) - 1;
+        return (int) points[place] & (1 << ORDINAL_BITS) - 1;
+    }
+
+    private static long point(long position, int endpointIndex, int ordinal) {
+        return position << POSITION_SHIFT | (long) endpointIndex << ORDINAL_BITS | ordinal;
     }
 
-    private static int owner(long point) {
-        return (int) (point >>> ORDINAL) & (1 << (POSITION - ORDINAL)) - 1;
+    private static int indexOf(long point) {
+        return (int) (point >>> ORDINAL_BITS) & (1 << (POSITION_SHIFT - ORDINAL_BITS)) - 1;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/selection/KeyShareEstimator.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/KeyShareEstimator.java
@@ -1,29 +1,44 @@
 package trestlegrade.policy.selection;
 
-/** Which part of the latest transactions each key had, as far as they tell. */
-public final class KeyShareEstimator {
-    // Transactions after which a sighting counts half: enough to tell a share of one server in a hundred.
-    private static final double MEMORY = 500;
+/**
+ * Estimates which part of the latest transactions each key had. Keeps one key in each of a fixed number of slots; a
+ * later key takes the slot over. Counts halve with every so many transactions.
+ */
+final class KeyShareEstimator {
+    /** Enough to tell the share of one endpoint in a hundred. */
+    private static final double HALF_LIFE_TRANSACTIONS = 500;
+
     private static final int SLOTS = 2048;
 
-    private final long[] keyIn = new long[SLOTS];
-    private final double[] count = new double[SLOTS];
-    private final long[] at = new long[SLOTS];
-    private long arrived;
+    private final long[] keys = new long[SLOTS];
+    private final double[] counts = new double[SLOTS];
+    private final long[] countedAt = new long[SLOTS];
+    private long arrivals;
 
-    public void arrived() {
-        arrived++;
+    /** A transaction has arrived, with a key or without. */
+    void onArrival() {
+        arrivals++;
     }
 
-    /** Counts one more sighting; {@code unknown} transactions of which nothing is known blur the first. */
-    public double sighted(long key, long hash, double unknown) {
+    /**
+     * Counts the latest transaction for its key; returns the key's share, 0 to 1.
+     *
+     * @param hash any hash of the key
+     * @param unknown so many transactions, of which nothing is known, are added, so that the first key has no large
+     *     share
+     */
+    double onKey(long key, long hash, double unknown) {
         int slot = (int) (hash & SLOTS - 1);
-        double before = keyIn[slot] == key ? count[slot] * Math.pow(0.5, (arrived - at[slot]) / MEMORY) : 0;
-        keyIn[slot] = key;
-        count[slot] = before + 1;
-        at[slot] = arrived;
-        double seen = MEMORY / Math.log(2) * (1 - Math.pow(0.5, arrived / MEMORY));
-        // Half a sighting more: what is unknown is spread at first.
+        double before = keys[slot] == key ? counts[slot] * remaining(arrivals - countedAt[slot]) : 0;
+        keys[slot] = key;
+        counts[slot] = before + 1;
+        countedAt[slot] = arrivals;
+        double seen = HALF_LIFE_TRANSACTIONS / Math.log(2) * (1 - remaining(arrivals));
+        // Half a transaction more: a key that is not known yet counts as spread over all endpoints.
         return (before + 0.5) / (seen + unknown);
     }
+
+    private static double remaining(long transactions) {
+        return Math.pow(0.5, transactions / HALF_LIFE_TRANSACTIONS);
+    }
 }
