--- a/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
+++ b/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
@@ -2,17 +2,9 @@
 
 import java.util.List;
 import trestlegrade.policy.admission.FairShare;
-import trestlegrade.policy.admission.LoadShedder;
-import trestlegrade.policy.admission.SlowStartBudget;
 import trestlegrade.policy.endpoint.Endpoint;
 import trestlegrade.policy.endpoint.EndpointTable;
 import trestlegrade.policy.endpoint.EndpointUpdate;
-import trestlegrade.policy.endpoint.FleetSummary;
-import trestlegrade.policy.estimate.LatencyEstimator;
-import trestlegrade.policy.health.DropRateGrader;
-import trestlegrade.policy.health.HalfOpenProbes;
-import trestlegrade.policy.health.OutlierEjection;
-import trestlegrade.policy.health.SilenceDetector;
 import trestlegrade.policy.lease.EndpointListLease;
 import trestlegrade.policy.random.SeededRandom;
 import trestlegrade.policy.request.Attempt;
@@ -23,10 +15,7 @@
 import trestlegrade.policy.retry.DiscoveryBackoff;
 import trestlegrade.policy.retry.RetryBudget;
 import trestlegrade.policy.retry.RetryPolicy;
-import trestlegrade.policy.selection.EndpointSelector;
 import trestlegrade.policy.selection.KeyAffinity;
-import trestlegrade.policy.selection.RingLayout;
-import trestlegrade.policy.selection.ZoneAffinity;
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
@@ -36,10 +25,6 @@
  * never go back. Not thread-safe.
  */
 public final class LoadBalancer {
-    /** Every second tick of the coarsest system clock in use; half the slack usual for final answers. */
-    private static final long TICK_INTERVAL = 100;
-    /** Ticks that are left out while nothing is open are made up for, up to so many. */
-    private static final double MOST_TICKS_MADE_UP = 20;
     /** A call of discovery takes about as long to be made and answered. */
     private static final long STALE_LIST_RETRY_AFTER = 10_000;
 
@@ -49,30 +34,18 @@
     private final PolicyActions actions;
     private final EndpointListLease lease;
     private final DiscoveryBackoff discoveryBackoff;
-    private final TransactionTable transactions = new TransactionTable();
     private final EndpointTable endpoints;
-    private final FleetSummary fleet;
-    private final LatencyEstimator latency;
+    private final TransactionTable transactions = new TransactionTable();
     private final FairShare fairShare;
-    private final LoadShedder loadShedder;
-    private final SlowStartBudget slowStartBudget;
+    private final KeyAffinity keyAffinity;
     private final RetryBudget retryBudget = new RetryBudget();
-    private final RetryPolicy retryPolicy;
     private final DeadlinePolicy deadlinePolicy;
-    private final DropRateGrader dropRateGrader;
-    private final SilenceDetector silenceDetector = new SilenceDetector();
-    private final OutlierEjection outlierEjection;
-    private final HalfOpenProbes halfOpenProbes;
-    private final ZoneAffinity zoneAffinity;
-    private final KeyAffinity keyAffinity;
-    private final RingLayout ringLayout;
-    private final EndpointSelector endpointSelector;
+    private final AttemptMonitor monitor;
+    private final AttemptPlacer placer;
+    private final TransactionCloser closer;
 
     private boolean tickScheduled;
-    private long lastTickAt;
     private long subscribeAt = NOT_SCHEDULED;
-    /** A first attempt found no endpoint in this tick: the others are spared a search that would fail as well. */
-    private boolean noEndpointThisTick;
 
     /** One whose endpoint list is always current. */
     public LoadBalancer(PolicySettings settings, long seed, PolicyActions actions) {
@@ -85,39 +58,20 @@
         this.actions = actions;
         this.lease = lease;
         SeededRandom random = new SeededRandom(seed);
+        RetryPolicy retryPolicy = new RetryPolicy(settings);
         discoveryBackoff = new DiscoveryBackoff(settings, seed);
         endpoints = new EndpointTable(settings);
-        fleet = new FleetSummary(endpoints, settings);
-        latency = new LatencyEstimator(settings);
         fairShare = new FairShare(settings);
-        loadShedder = new LoadShedder(settings, latency, fairShare, random);
-        slowStartBudget = new SlowStartBudget(settings, fleet, latency, random);
-        retryPolicy = new RetryPolicy(settings);
-        deadlinePolicy = new DeadlinePolicy(settings, latency, retryBudget, retryPolicy);
-        dropRateGrader = new DropRateGrader(endpoints, fleet);
-        outlierEjection = new OutlierEjection(endpoints, fleet);
-        halfOpenProbes = new HalfOpenProbes(endpoints, fleet, retryPolicy, slowStartBudget, lease, random);
-        zoneAffinity = new ZoneAffinity(settings, fleet, random);
-        keyAffinity = new KeyAffinity(settings, zoneAffinity, random);
-        ringLayout = new RingLayout(endpoints, fleet, settings, random);
-        endpointSelector = new EndpointSelector(
-                settings,
-                endpoints,
-                fleet,
-                ringLayout,
-                zoneAffinity,
-                loadShedder,
-                silenceDetector,
-                retryPolicy,
-                slowStartBudget,
-                lease,
-                random);
+        monitor = new AttemptMonitor(settings, endpoints, fairShare, random);
+        keyAffinity = new KeyAffinity(settings, monitor.zoneAffinity(), random);
+        deadlinePolicy = new DeadlinePolicy(settings, monitor.latency(), retryBudget, retryPolicy);
+        placer = new AttemptPlacer(settings, endpoints, monitor, retryPolicy, lease, random);
+        closer = new TransactionCloser(settings, actions, transactions, retryPolicy, deadlinePolicy);
     }
 
     /** Begins; to be called once, before all else. */
     public void start(long now) {
-        dropRateGrader.start(now);
-        lastTickAt = now;
+        monitor.start(now);
         if (settings.listOnRequest()) {
             actions.subscribe();
         }
@@ -134,7 +88,7 @@
             discoveryBackoff.succeeded();
         }
         endpoints.apply(now, updates, complete);
-        ringLayout.onEndpointUpdates();
+        placer.onEndpointUpdates();
         dispatchWaiting(now);
     }
 
@@ -184,9 +138,9 @@
             return;
         }
         if (answered) {
-            markAnswered(transaction);
+            closer.markAnswered(transaction);
         }
-        learn(now, transaction, attempt, tookTicks);
+        monitor.onAttemptEnded(now, transaction, attempt, tookTicks);
         if (!transaction.isStreaming()) {
             dispatch(now, transaction);
         }
@@ -197,7 +151,7 @@
     public void onClientDisconnected(long now, long id) {
         Transaction transaction = transactions.get(id);
         if (transaction != null) {
-            markAnswered(transaction);
+            closer.markAnswered(transaction);
         }
     }
 
@@ -208,16 +162,9 @@
             subscribeAt = NOT_SCHEDULED;
             actions.subscribe();
         }
-        silenceDetector.measure(now, transactions.open(), loadShedder.recentMeanTicks(now));
-        outlierEjection.ejectSilent(now, silenceDetector.observed());
-        silenceDetector.count(now, loadShedder.isJammed());
-        double ticksPassed = Math.min(MOST_TICKS_MADE_UP, (double) Math.max(1, (now - lastTickAt) / TICK_INTERVAL));
-        loadShedder.onTick(now, silenceDetector, ticksPassed);
-        zoneAffinity.onTick(loadShedder.expectedWaitTicks(), loadShedder.leastPermittedWaitTicks(), ticksPassed);
-        lastTickAt = now;
-        grade(now);
+        monitor.onTick(now, transactions);
         dispatchWaiting(now);
-        transactions.retainOpen(transaction -> expireOrCancelLost(now, transaction));
+        closer.onTick(now);
         // No tick while nothing is open: hundreds of idle sidecars cost nothing.
         if (!transactions.isIdle() || subscribeAt != NOT_SCHEDULED) {
             scheduleTick();
@@ -247,20 +194,12 @@
     private void scheduleTick() {
         if (!tickScheduled) {
             tickScheduled = true;
-            actions.scheduleTick(TICK_INTERVAL);
-        }
-    }
-
-    private void grade(long now) {
-        for (int steps = dropRateGrader.takeStepsDue(now); steps > 0; steps--) {
-            dropRateGrader.step(now);
-            latency.onGradingStep();
-            fleet.onHealthChanged(now);
+            actions.scheduleTick(AttemptMonitor.TICK_INTERVAL);
         }
     }
 
     private void dispatchWaiting(long now) {
-        noEndpointThisTick = false;
+        placer.onRetryWaiting();
         transactions.takeWaiting().forEach(transaction -> dispatch(now, transaction));
     }
 
@@ -271,115 +210,39 @@
         }
         RejectionReason reason = deadlinePolicy.rejectionReason(now, transaction);
         if (reason != null) {
-            reject(transaction, 0, reason);
-        } else if (!transaction.hasAttempts() && loadShedder.sheds(now, transaction)) {
-            reject(transaction, settings.longestPause(), RejectionReason.OVERLOAD);
-        } else {
-            place(now, transaction);
-        }
-    }
-
-    private void place(long now, Transaction transaction) {
-        boolean first = !transaction.hasAttempts();
-        boolean searches = !(first && noEndpointThisTick);
-        Endpoint probed = searches ? halfOpenProbes.endpointToProbe(now, transaction) : null;
-        if (probed != null) {
-            send(now, transaction, probed, true);
+            closer.reject(transaction, reason);
             return;
         }
-        Endpoint endpoint = searches ? select(now, transaction) : null;
-        if (endpoint != null) {
-            send(now, transaction, endpoint, false);
+        if (!transaction.hasAttempts() && monitor.loadShedder().sheds(now, transaction)) {
+            closer.reject(transaction, RejectionReason.OVERLOAD, settings.longestPause());
             return;
         }
-        noEndpointThisTick |= first;
-        if (!lease.valid(now)) {
-            reject(transaction, STALE_LIST_RETRY_AFTER, RejectionReason.STALE_LIST);
-        } else if (deadlinePolicy.mayWaitForEndpoint(now, transaction)) {
-            transactions.addWaiting(transaction);
+        Attempt attempt = placer.place(now, transaction);
+        if (attempt != null) {
+            send(now, transaction, attempt);
         } else {
-            reject(transaction, 0, RejectionReason.NO_SERVER);
+            waitForEndpoint(now, transaction);
         }
     }
 
-    private Endpoint select(long now, Transaction transaction) {
-        ringLayout.refresh(lastTickAt);
-        return endpointSelector.select(now, transaction);
-    }
-
-    private void send(long now, Transaction transaction, Endpoint endpoint, boolean probe) {
+    private void send(long now, Transaction transaction, Attempt attempt) {
         if (transaction.retryAddsWork()) {
             retryBudget.onRetrySent();
         }
-        double expectedTicks = latency.expectedTicks(transaction.profile(), transaction.costHint());
-        transaction.addAttempt(new Attempt(endpoint, now, expectedTicks, probe));
-        endpoint.onSent(now, latency.work(transaction.profile(), transaction.costHint()), probe);
-        loadShedder.onSent(now);
-        silenceDetector.onSent(now, endpoint);
+        transaction.addAttempt(attempt);
+        monitor.onSent(now, transaction, attempt);
+        Endpoint endpoint = attempt.endpoint();
         long writeBefore = lease.end(endpoint.serviceProof().servedAt());
         actions.send(transaction.id(), endpoint.id(), transaction.deadline() - now, writeBefore);
     }
 
-    /** What an attempt's end tells of its endpoint and of the wait. */
-    private void learn(long now, Transaction transaction, Attempt attempt, long tookTicks) {
-        Endpoint endpoint = attempt.endpoint();
-        AttemptOutcome outcome = attempt.outcome();
-        silenceDetector.onAttemptEnded(now, endpoint);
-        endpoint.onAttemptEnded(now, attempt);
-        if (!outcome.isUninformative()) {
-            endpoint.calls().onAttemptEnded(now, transaction.profile(), attempt, tookTicks);
-            if (outcome == AttemptOutcome.COMMITTED) {
-                slowStartBudget.onCommitted(now, endpoint, transaction);
-            }
-            if (outcome == AttemptOutcome.COMMITTED || outcome == AttemptOutcome.TIMED_OUT) {
-                dropRateGrader.onAnswer(now);
-                latency.onAnswer(transaction.profile(), transaction.costHint(), tookTicks);
-            }
-            outlierEjection.onAttemptEnded(now, attempt, dropRateGrader.recentSpan());
-        }
-        loadShedder.onAttemptEnded(now, attempt, tookTicks);
-    }
-
-    /** Answers a transaction that is overdue, and cancels an attempt that is lost; whether it stays open. */
-    private boolean expireOrCancelLost(long now, Transaction transaction) {
-        if (!transaction.isAnswered() && deadlinePolicy.isOverdue(now, transaction)) {
-            reject(transaction, 0, RejectionReason.DEADLINE);
-        }
-        if (transaction.isAnswered()) {
-            return false;
-        }
-        if (transaction.attemptsInFlight() == 1
-                && !transaction.isStreaming()
-                && deadlinePolicy.isLost(now, transaction)) {
-            actions.cancel(transaction.id(), transaction.attempts().size() - 1);
-        }
-        return true;
-    }
-
-    /** The final answer when nothing more is tried: at once, so that the client can turn elsewhere. */
-    private void reject(Transaction transaction, long retryAfterTicks, RejectionReason reason) {
-        if (retryPolicy.mayRollBack(transaction)) {
-            long pause = settings.pauses() ? Math.min(retryAfterTicks, settings.longestPause()) : 0;
-            actions.rollBack(transaction.id(), pause, reason);
+    private void waitForEndpoint(long now, Transaction transaction) {
+        if (!lease.valid(now)) {
+            closer.reject(transaction, RejectionReason.STALE_LIST, STALE_LIST_RETRY_AFTER);
+        } else if (deadlinePolicy.mayWaitForEndpoint(now, transaction)) {
+            transactions.addWaiting(transaction);
         } else {
-            actions.abandon(transaction.id(), reason);
+            closer.reject(transaction, RejectionReason.NO_SERVER);
         }
-        markAnswered(transaction);
-    }
-
-    /** Marks the transaction as answered; attempts still in flight are of no more use. */
-    private void markAnswered(Transaction transaction) {
-        if (transaction.isAnswered()) {
-            return;
-        }
-        transaction.markAnswered();
-        if (settings.cancelling()) {
-            for (int i = 0; i < transaction.attempts().size(); i++) {
-                if (transaction.attempts().get(i).inFlight()) {
-                    actions.cancel(transaction.id(), i);
-                }
-            }
-        }
-        transactions.removeIfOver(transaction);
     }
 }
--- /dev/null
+++ b/sidecar/src/main/java/trestlegrade/policy/TransactionCloser.java
@@ -0,0 +1,82 @@
+package trestlegrade.policy;
+
+import trestlegrade.policy.request.RejectionReason;
+import trestlegrade.policy.request.Transaction;
+import trestlegrade.policy.retry.DeadlinePolicy;
+import trestlegrade.policy.retry.RetryPolicy;
+import trestlegrade.policy.settings.PolicySettings;
+
+/** Gives transactions their final answer, once, and cancels attempts that are of no more use. */
+final class TransactionCloser {
+    private final PolicySettings settings;
+    private final PolicyActions actions;
+    private final TransactionTable transactions;
+    private final RetryPolicy retryPolicy;
+    private final DeadlinePolicy deadlinePolicy;
+
+    TransactionCloser(
+            PolicySettings settings,
+            PolicyActions actions,
+            TransactionTable transactions,
+            RetryPolicy retryPolicy,
+            DeadlinePolicy deadlinePolicy) {
+        this.settings = settings;
+        this.actions = actions;
+        this.transactions = transactions;
+        this.retryPolicy = retryPolicy;
+        this.deadlinePolicy = deadlinePolicy;
+    }
+
+    /** Rejects a transaction for which nothing more is tried: at once, so that the client can turn elsewhere. */
+    void reject(Transaction transaction, RejectionReason reason) {
+        reject(transaction, reason, 0);
+    }
+
+    /** Rejects a transaction and asks the client to wait before it tries again, as far as the settings allow. */
+    void reject(Transaction transaction, RejectionReason reason, long retryAfterTicks) {
+        if (retryPolicy.mayRollBack(transaction)) {
+            long retryAfter = settings.pauses() ? Math.min(retryAfterTicks, settings.longestPause()) : 0;
+            actions.rollBack(transaction.id(), retryAfter, reason);
+        } else {
+            actions.abandon(transaction.id(), reason);
+        }
+        markAnswered(transaction);
+    }
+
+    /** Marks the transaction as answered, and cancels what is in flight; does nothing the second time. */
+    void markAnswered(Transaction transaction) {
+        if (transaction.isAnswered()) {
+            return;
+        }
+        transaction.markAnswered();
+        if (settings.cancelling()) {
+            for (int i = 0; i < transaction.attempts().size(); i++) {
+                if (transaction.attempts().get(i).inFlight()) {
+                    actions.cancel(transaction.id(), i);
+                }
+            }
+        }
+        transactions.removeIfOver(transaction);
+    }
+
+    /** At each tick: rejects what is overdue, and cancels attempts that are lost, whose ends bring retries. */
+    void onTick(long now) {
+        transactions.retainOpen(transaction -> {
+            if (!transaction.isAnswered() && deadlinePolicy.isOverdue(now, transaction)) {
+                reject(transaction, RejectionReason.DEADLINE);
+            }
+            if (!transaction.isAnswered()) {
+                cancelIfLost(now, transaction);
+            }
+            return !transaction.isAnswered();
+        });
+    }
+
+    private void cancelIfLost(long now, Transaction transaction) {
+        if (transaction.attemptsInFlight() == 1
+                && !transaction.isStreaming()
+                && deadlinePolicy.isLost(now, transaction)) {
+            actions.cancel(transaction.id(), transaction.attempts().size() - 1);
+        }
+    }
+}
--- a/sidecar/src/main/java/trestlegrade/policy/admission/FairShare.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/FairShare.java
@@ -20,6 +20,7 @@
     private final SlidingWindowSum arrivals = new SlidingWindowSum(SPAN, BUCKETS);
     private final SlidingWindowSum[] customerArrivals;
 
+    /** Begins with no arrivals. */
     public FairShare(PolicySettings settings) {
         customers = settings.customers();
         customerArrivals = new SlidingWindowSum[customers.size() + 1];
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/CallStatistics.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/CallStatistics.java
@@ -122,10 +122,12 @@
         return recentSlowness;
     }
 
+    /** When the endpoint last showed a sign of life, or the first attempt after a pause was sent. */
     public long lastAnswerAt() {
         return lastAnswerAt;
     }
 
+    /** Attempts that failed since the latest that committed. */
     public int consecutiveFailures() {
         return consecutiveFailures;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/DropRate.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/DropRate.java
@@ -32,14 +32,17 @@
         return value;
     }
 
+    /** Answers within the graded span. */
     public double answers() {
         return answers;
     }
 
+    /** Their slowness, added up. */
     public double slownessSum() {
         return slownessSum;
     }
 
+    /** Mean slowness, blended with the instance type's; 1 is as expected. */
     public double meanSlowness() {
         return meanSlowness;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/Endpoint.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/Endpoint.java
@@ -127,26 +127,32 @@
         return gone && inFlight == 0 && laidRingPoints == 0;
     }
 
+    /** The id that the list gives it. */
     public long id() {
         return id;
     }
 
+    /** Its place in the table. */
     public int index() {
         return index;
     }
 
+    /** The zone that the list names. */
     public int zone() {
         return zone;
     }
 
+    /** The cell that the list names; endpoints of one cell may share a journal. */
     public int cell() {
         return cell;
     }
 
+    /** Its instance type. */
     public InstanceType type() {
         return type;
     }
 
+    /** Its size relative to other endpoints; 1 where the list gives none. */
     public double weight() {
         return weight;
     }
@@ -195,26 +201,32 @@
         return inFlight;
     }
 
+    /** What its calls showed. */
     public CallStatistics calls() {
         return calls;
     }
 
+    /** How far it has warmed up. */
     public SlowStart slowStart() {
         return slowStart;
     }
 
+    /** Its drop rate. */
     public DropRate dropRate() {
         return dropRate;
     }
 
+    /** Its silence as of the latest tick. */
     public SilenceState silence() {
         return silence;
     }
 
+    /** Whether it is ejected. */
     public EjectionState ejection() {
         return ejection;
     }
 
+    /** What is proven of whether it takes new requests. */
     public ServiceProof serviceProof() {
         return serviceProof;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/EndpointTable.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/EndpointTable.java
@@ -16,6 +16,7 @@
     private final List<Endpoint> readOnly = Collections.unmodifiableList(endpoints);
     private final List<InstanceType> types = new ArrayList<>();
 
+    /** Begins empty. */
     public EndpointTable(PolicySettings settings) {
         this.settings = settings;
     }
@@ -97,6 +98,7 @@
         return endpoints.get(index);
     }
 
+    /** Number of places in the table, those of endpoints that have left included. */
     public int size() {
         return endpoints.size();
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/FleetSummary.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/FleetSummary.java
@@ -15,6 +15,7 @@
     private int ejected;
     private double meanReportedLoad;
 
+    /** Begins with nothing counted; changes no endpoint. */
     public FleetSummary(EndpointTable endpoints, PolicySettings settings) {
         this.endpoints = endpoints;
         localZone = settings.zone();
@@ -59,6 +60,7 @@
         return inUseLocally;
     }
 
+    /** The weight of the endpoints in use, added up. */
     public double weightInUse() {
         return weightInUse;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/InstanceType.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/InstanceType.java
@@ -23,6 +23,7 @@
         return slownessSum;
     }
 
+    /** Answers since {@link #clearSums}. */
     public double answers() {
         return answers;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/SilenceState.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/SilenceState.java
@@ -30,6 +30,7 @@
         return ageSumTicks;
     }
 
+    /** Attempts in flight to it. */
     public int attempts() {
         return attempts;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/SlowStart.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/SlowStart.java
@@ -57,14 +57,17 @@
         committedWork.add(now, work);
     }
 
+    /** Work that this sidecar sent it within the rule's span. */
     public double sentWork(long now) {
         return sentWork.total(now);
     }
 
+    /** Work that it committed for this sidecar within the rule's span. */
     public double committedWork(long now) {
         return committedWork.total(now);
     }
 
+    /** When this sidecar last sent it an attempt, 0 if never. */
     public long lastSentAt() {
         return lastSentAt;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/estimate/LatencyEstimator.java
+++ b/sidecar/src/main/java/trestlegrade/policy/estimate/LatencyEstimator.java
@@ -31,6 +31,7 @@
     private double lowestMeanLatency;
     private double meanObjective;
 
+    /** Begins with a guess from the latency objectives of the profiles. */
     public LatencyEstimator(PolicySettings settings) {
         this.settings = settings;
         int profiles = settings.profiles().size();
--- a/sidecar/src/main/java/trestlegrade/policy/health/DropRateGrader.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/DropRateGrader.java
@@ -38,6 +38,7 @@
     private long nextStepAt;
     private long span = SPAN;
 
+    /** Changes the drop rates of these endpoints; reads the summary. */
     public DropRateGrader(EndpointTable endpoints, FleetSummary fleet) {
         this.endpoints = endpoints;
         this.fleet = fleet;
--- a/sidecar/src/main/java/trestlegrade/policy/health/OutlierEjection.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/OutlierEjection.java
@@ -28,6 +28,7 @@
     private final EndpointTable endpoints;
     private final FleetSummary fleet;
 
+    /** Changes the ejection state of these endpoints, and has the summary follow. */
     public OutlierEjection(EndpointTable endpoints, FleetSummary fleet) {
         this.endpoints = endpoints;
         this.fleet = fleet;
--- a/sidecar/src/main/java/trestlegrade/policy/request/Attempt.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/Attempt.java
@@ -26,14 +26,17 @@
         this.probe = probe;
     }
 
+    /** The endpoint that it was sent to. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
+    /** When it was sent. */
     public long sentAt() {
         return sentAt;
     }
 
+    /** How long it was expected to take when it was sent. */
     public double expectedTicks() {
         return expectedTicks;
     }
@@ -43,6 +46,7 @@
         return Math.min((double) ticks, LONGEST_COUNTED * expectedTicks);
     }
 
+    /** Whether it is a half-open probe of an ejected endpoint. */
     public boolean isProbe() {
         return probe;
     }
@@ -52,6 +56,7 @@
         return outcome;
     }
 
+    /** Whether it has not ended yet. */
     public boolean inFlight() {
         return outcome == null;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/request/Transaction.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/Transaction.java
@@ -42,26 +42,32 @@
         this.costHint = costHint;
     }
 
+    /** The id that the caller gave it. */
     public long id() {
         return id;
     }
 
+    /** Index into the settings' profiles. */
     public int profile() {
         return profile;
     }
 
+    /** Index into the settings' customers; their number for all that are not named there. */
     public int customer() {
         return customer;
     }
 
+    /** When it arrived. */
     public long arrivedAt() {
         return arrivedAt;
     }
 
+    /** When it must have its final answer. */
     public long deadline() {
         return deadline;
     }
 
+    /** The client's estimate of its work, 0 if it gave none. */
     public long costHint() {
         return costHint;
     }
@@ -81,10 +87,12 @@
         keyPosition = position;
     }
 
+    /** Its attempts in the order in which they were sent. */
     public List<Attempt> attempts() {
         return attempts;
     }
 
+    /** Whether any attempt has been sent. */
     public boolean hasAttempts() {
         return !attempts.isEmpty();
     }
@@ -94,6 +102,7 @@
         return attempts.get(attempts.size() - 1);
     }
 
+    /** Number of its attempts in flight: 0 or 1. */
     public int attemptsInFlight() {
         return attemptsInFlight;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
@@ -22,6 +22,7 @@
 
     private final PolicySettings settings;
 
+    /** Has no state of its own. */
     public RetryPolicy(PolicySettings settings) {
         this.settings = settings;
     }
