--- a/sidecar/src/test/java/trestlegrade/policy/TraceScenario.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TraceScenario.java
@@ -61,6 +61,18 @@
         SILENT.begin(fleet);
     };
 
+    private static final Fault ENDING_LATE = fleet -> {
+        SILENT.begin(fleet);
+        fleet.endSidecarsLater(1_000, 500);
+    };
+    private static final Fault ALL_STALE = fleet -> {
+        fleet.loseDiscovery(true);
+        fleet.failWatches();
+        for (int i = 0; i < fleet.size(); i++) {
+            fleet.endpoint(i).failing = 1;
+        }
+    };
+
     @SuppressWarnings("UnnecessaryLambda")
     private static final LongToDoubleFunction STEADY = second -> 150;
 
@@ -70,6 +82,24 @@
     @SuppressWarnings("UnnecessaryLambda")
     private static final LongToDoubleFunction SURGE = second -> second > 5 && second < 18 ? 900 : 150;
 
+    @SuppressWarnings("UnnecessaryLambda")
+    private static final LongToDoubleFunction MORNING = second -> second < 9 ? 60 : 0.3;
+
+    @SuppressWarnings("UnnecessaryLambda")
+    private static final LongToDoubleFunction BURSTS = second -> second % 7 < 4 ? 900 : 2;
+
+    private static final List<String> TIGHT_GOALS =
+            List.of("profiles.0.service_goal=30", "profiles.1.service_goal=40", "profiles.2.service_goal=50");
+    private static final List<String> EVEN_CUSTOMERS =
+            List.of("tenants.count=2", "tenants.0.share=0.69", "tenants.1.share=0.31");
+    private static final List<String> MANY_SIDECARS = List.of("fees.connection=0.1", "n_instances=4000");
+    private static final List<String> SHORT_WINDOWS = List.of(
+            "profiles.0.dedup_window=150",
+            "profiles.1.dedup_window=150",
+            "profiles.2.dedup_window=150",
+            "profiles.0.effect=by_key",
+            "profiles.0.group=all",
+            "profiles.1.group=all");
     private static final List<String> KEYS = List.of("family_info.warm_keys=true");
     private static final List<String> ZONES = List.of("fees.cross_zone=0.3");
     private static final List<String> CUSTOMERS =
@@ -94,7 +124,15 @@
                 new TraceScenario("zones", 3, 12, SURGE, false, false, ZONES, ALL),
                 new TraceScenario("customers", 3, 12, SURGE, false, true, CUSTOMERS, ALL),
                 new TraceScenario("connections", 3, 40, STEADY, false, false, CONNECTIONS, ALL),
-                new TraceScenario("no-cancelling", 2, 12, STEADY, false, false, NO_CANCELLING, ALL));
+                new TraceScenario("no-cancelling", 2, 12, STEADY, false, false, NO_CANCELLING, ALL),
+                new TraceScenario("stale", 3, 12, STEADY, false, true, List.of(), ALL_STALE),
+                new TraceScenario("idle", 2, 12, MORNING, false, false, List.of(), SLOW),
+                new TraceScenario("shares", 2, 6, SURGE, false, false, EVEN_CUSTOMERS, SLOW),
+                new TraceScenario("windows", 3, 40, STEADY, false, false, MANY_SIDECARS, ALL),
+                new TraceScenario("deduplication", 3, 12, STEADY, false, false, SHORT_WINDOWS, ALL),
+                new TraceScenario("hot-keys", 3, 12, STEADY, false, false, KEYS, NONE),
+                new TraceScenario("tight-goals", 2, 6, BURSTS, false, true, TIGHT_GOALS, SLOW),
+                new TraceScenario("ending-late", 2, 12, STEADY, false, false, NO_CANCELLING, ENDING_LATE));
     }
 
     private static List<String> with(List<String> settings, String further) {
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -104,6 +104,15 @@
         }
     }
 
+    void endSidecarsLater(long delay, long span) {
+        after(delay, () -> endSidecarsBy(span));
+    }
+
+    /** Every sidecar's watch on the list ends, and calls of discovery fail until it recovers. */
+    void failWatches() {
+        sidecars.forEach(each -> each.balance.listFailed(now));
+    }
+
     void restartSidecar(int index) {
         sidecars.get(index % sidecars.size()).start(now + index, true);
     }
@@ -264,6 +273,7 @@
             int profile = random.nextInt(3);
             int customer = random.nextInt(10) < 7 ? 0 : random.nextInt(3) - 1 + (random.nextInt(9) == 0 ? 5 : 0);
             long key = random.nextInt(3) == 0 ? 0 : 1 + (long) Math.abs(random.nextGaussian() * 40);
+            key = scenario.name().equals("hot-keys") && key < 15 ? 1 : key;
             long patience = (300 + random.nextInt(700)) * MILLISECOND;
             long cost = random.nextInt(4) == 0 ? 0 : 500 + random.nextInt(1_000);
             profiles.put(id, profile);
