--- a/sidecar/src/test/java/trestlegrade/ArchitectureTest.java
+++ b/sidecar/src/test/java/trestlegrade/ArchitectureTest.java
@@ -14,7 +14,7 @@
 
     /** Decisions can be played under a virtual clock only while they reach nothing else. */
     @ArchTest
-    static final ArchRule decisionsDependOnNothingOfOurs = classes()
+    static final ArchRule DECISIONS_DEPEND_ON_NOTHING_OF_OURS = classes()
             .that()
             .resideInAPackage("trestlegrade.policy..")
             .should()
@@ -30,7 +30,7 @@
 
     /** No threads, no system clock, no chance but the seeded one: the same events bring the same decisions. */
     @ArchTest
-    static final ArchRule decisionsHaveNoThreadsNoClockAndNoChanceOfTheirOwn = noClasses()
+    static final ArchRule DECISIONS_HAVE_NO_THREADS_NO_CLOCK_AND_NO_CHANCE_OF_THEIR_OWN = noClasses()
             .that()
             .resideInAPackage("trestlegrade.policy..")
             .should()
@@ -43,7 +43,7 @@
             .callMethod(Math.class, "random");
 
     @ArchTest
-    static final ArchRule theSimulatorsAdapterHasNoSockets = noClasses()
+    static final ArchRule THE_SIMULATORS_ADAPTER_HAS_NO_SOCKETS = noClasses()
             .that()
             .resideInAPackage("trestlegrade.simulator..")
             .should()
@@ -59,7 +59,7 @@
                     "java.net..");
 
     @ArchTest
-    static final ArchRule theConfigurationKnowsNoSockets = noClasses()
+    static final ArchRule THE_CONFIGURATION_KNOWS_NO_SOCKETS = noClasses()
             .that()
             .resideInAPackage("trestlegrade.config..")
             .should()
@@ -74,7 +74,7 @@
                     "io.netty..");
 
     @ArchTest
-    static final ArchRule theTwoSidesDoNotKnowTheSimulator = noClasses()
+    static final ArchRule THE_TWO_SIDES_DO_NOT_KNOW_THE_SIMULATOR = noClasses()
             .that()
             .resideInAnyPackage(
                     "trestlegrade.inbound..",
