--- a/lab/src/main/java/trestlegrade/lab/Lab.java
+++ b/lab/src/main/java/trestlegrade/lab/Lab.java
@@ -5,6 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
+import trestlegrade.lab.cost.CostCommand;
 import trestlegrade.lab.soak.SoakCommand;
 
 /** The laboratory's command line. */
@@ -13,7 +14,7 @@
         mixinStandardHelpOptions = true,
         version = "trestlegrade lab 0.1.0",
         description = "Experiments with the built program.",
-        subcommands = SoakCommand.class)
+        subcommands = {SoakCommand.class, CostCommand.class})
 public final class Lab implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -24,6 +25,7 @@
         return CommandLine.ExitCode.USAGE;
     }
 
+    /** Ends the program with the status of the subcommand: 0, 1 for a failure, 2 for wrong arguments. */
     public static void main(String[] args) {
         System.exit(new CommandLine(new Lab()).execute(args));
     }
--- a/lab/src/main/java/trestlegrade/lab/soak/SidecarProcess.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SidecarProcess.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
+import trestlegrade.lab.ProgramFiles;
 
 /** The built program under one name: one process after the other on the same port. */
 final class SidecarProcess implements AutoCloseable {
@@ -106,13 +107,7 @@
         asked = toldToEnd;
         openUntil = Long.MAX_VALUE;
         writeSettings();
-        ProcessBuilder builder = new ProcessBuilder(
-                        "java",
-                        "-XX:SharedArchiveFile=" + ProgramFiles.ARCHIVE,
-                        "@" + ProgramFiles.OPTIONS,
-                        "-jar",
-                        ProgramFiles.JAR,
-                        "serve")
+        ProcessBuilder builder = new ProcessBuilder(ProgramFiles.serveCommand())
                 .directory(program.toFile())
                 .redirectErrorStream(true)
                 .redirectOutput(
--- a/lab/src/main/java/trestlegrade/lab/soak/SoakCommand.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SoakCommand.java
@@ -9,6 +9,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
+import trestlegrade.lab.ProgramFiles;
 
 /** {@code lab soak}: plays one seed after the other, and tells of each breach. */
 @Command(
@@ -92,8 +93,8 @@
         require(seconds >= SHORTEST_SECONDS, "--seconds must be " + SHORTEST_SECONDS + " at least");
         require(processes >= 1, "--processes must be 1 at least");
         require(servers >= 1, "--servers must be 1 at least");
-        String missing = ProgramFiles.missing(program);
-        require(missing == null, "--program: cannot read " + missing + "; build the project first");
+        ProgramFiles.missing(program)
+                .ifPresent(file -> require(false, "--program: cannot read " + file + "; build the project first"));
     }
 
     private void require(boolean holds, String message) {
