--- a/sidecar/src/test/java/trestlegrade/inbound/BoundedTransportTest.java
+++ b/sidecar/src/test/java/trestlegrade/inbound/BoundedTransportTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import trestlegrade.integration.Loopback;
+import trestlegrade.integration.Await;
 import trestlegrade.metrics.Counters;
 import trestlegrade.runtime.MonotonicClock;
 
@@ -28,7 +28,7 @@
 class BoundedTransportTest {
 
     private static void stall() {
-        Loopback.pause(5);
+        Await.pause(5);
     }
 
     /**
@@ -62,7 +62,7 @@
                     .getPort();
             client.setSoTimeout(5_000);
             client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            Loopback.eventually(descriptors::awaitedLately);
+            Await.eventually(descriptors::awaitedLately);
             EventLoop loop = loops.next();
             loop.execute(() -> {
                 // Due in one turn with the listener's two looks, and just before each.
@@ -112,12 +112,12 @@
                     .channel()
                     .localAddress();
             first.connect(address);
-            Loopback.eventually(descriptors::awaitedLately);
-            Loopback.pause(200);
+            Await.eventually(descriptors::awaitedLately);
+            Await.pause(200);
             descriptors.giveBack();
             long waited = letIn.poll(5, TimeUnit.SECONDS).queuedNanoseconds();
             assertTrue(waited >= 150_000_000, "waited " + waited);
-            Loopback.pause(500);
+            Await.pause(500);
             descriptors.giveBack();
             second.connect(address);
             assertEquals(0, letIn.poll(5, TimeUnit.SECONDS).queuedNanoseconds());
--- a/sidecar/src/test/java/trestlegrade/integration/BodyMemoryBudgetIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/BodyMemoryBudgetIT.java
@@ -2,6 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.HttpText.answer;
 
 import io.vertx.core.json.JsonObject;
 import java.util.ArrayList;
@@ -15,7 +17,7 @@
 
 /** More bodies at once than the heap can hold: each request has its answer, and what is refused was not forwarded. */
 @Isolated("holds some hundred threads and connections")
-class BodyMemoryBudgetIT extends Loopback {
+class BodyMemoryBudgetIT extends SidecarFixture {
     private static final int CLIENTS = 480;
 
     private static String posted(int id) {
@@ -27,7 +29,7 @@
     @Test
     void theLargestBodiesAtOnce() throws Exception {
         Gate gate = new Gate();
-        Stub endpoint = endpoint(r -> {
+        StubEndpoint endpoint = endpoint(r -> {
             gate.pass();
             return answer(200, "", "y".repeat(InboundHttpServer.LONGEST_BODY));
         });
--- a/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
@@ -2,6 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.message;
+import static trestlegrade.integration.HttpText.transaction;
+import static trestlegrade.integration.StubServer.HANG;
 
 import io.vertx.core.json.JsonArray;
 import java.io.BufferedInputStream;
@@ -24,7 +31,7 @@
 import trestlegrade.inbound.InboundHttpServer;
 
 /** Clients that write slowly, and such as send more than is read when their answer ends the connection. */
-class ClientConnectionsIT extends Loopback {
+class ClientConnectionsIT extends SidecarFixture {
 
     /**
      * Its connection has stood idle for nearly as long as it may; the process stands still, and when it goes on the end
@@ -35,7 +42,7 @@
         endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
         patient();
         serve();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
             assertTrue(clients.get(i).ask(transaction("quote", "t" + i, 30_000)).endsWith("t" + i));
@@ -67,7 +74,7 @@
         });
         patient();
         serve();
-        Client client = client();
+        TestClient client = client();
         long sent = System.nanoTime();
         client.write(transaction("post-charge", "a", 6_000) + transaction("post-charge", "b", 6_000));
         assertEquals("200", client.read().substring(9, 12));
@@ -141,7 +148,7 @@
         patient();
         serve();
         for (int i = 0; i < 30; i++) {
-            Client client = client();
+            TestClient client = client();
             for (int j = 0; j < 150; j++) {
                 client.write(transaction("quote", "t" + i + "-" + j, 39_000));
             }
@@ -159,7 +166,7 @@
         endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
         patient();
         serve();
-        Client client = client();
+        TestClient client = client();
         if (kept) {
             client.ask(transaction("quote", "before", 9_000));
             // Most of what a connection may stand idle is over when the next one begins.
@@ -192,7 +199,7 @@
                                 .encode()
                                 .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":3500")));
         serve();
-        Client client = client();
+        TestClient client = client();
         String text = transaction("post-charge", "t", 3_000)
                 .replace("Content-Length: 2\r\n\r\nok", "Content-Length: 1000\r\n\r\n" + "x".repeat(1_000));
         int from = part.equals("head") ? 3 : text.length() - 990;
@@ -231,7 +238,7 @@
     void anAnswerIsWholeThoughMoreHasComeBehindItsTransaction() throws Exception {
         Map<String, Gate> gates = new ConcurrentHashMap<>();
         String body = "x".repeat(60_000);
-        Stub endpoint = endpoint(r -> {
+        StubEndpoint endpoint = endpoint(r -> {
             String trace = header(r, "X-Trace-Id");
             if (gates.containsKey(trace)) {
                 gates.get(trace).pass();
@@ -279,7 +286,7 @@
     void oneThatWritesTooMuchSlowlyIsAnswered() throws Exception {
         endpoint(r -> answer(200, "", "good"));
         serve();
-        Client client = client();
+        TestClient client = client();
         client.write("POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nContent-Length: 70000\r\n\r\n");
         for (int i = 0; i < 6; i++) {
             pause(300);
@@ -330,7 +337,7 @@
         for (int i = 0; i < crowd; i++) {
             client();
         }
-        Client next = client();
+        TestClient next = client();
         Stopwatch watch = new Stopwatch();
         String got = next.ask(transaction("post-charge", "t", 2_900));
         assertTrue(got.startsWith("HTTP/1.1 200 "), "after " + watch.milliseconds() + " ms: " + got);
@@ -346,7 +353,7 @@
     void whatWaitedForADescriptorIsToldNoMoreTimeThanIsLeft(boolean stopped) throws Exception {
         sockets = 64;
         long[] seenAt = {0};
-        Stub endpoint = endpoint(r -> {
+        StubEndpoint endpoint = endpoint(r -> {
             seenAt[0] = System.nanoTime();
             return answer(200, "", "good");
         });
@@ -361,7 +368,7 @@
                                     : "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: b" + i
                                             + "\r\nContent-Length: 9\r\n\r\nb");
         }
-        Client next = client();
+        TestClient next = client();
         long asked = System.nanoTime();
         next.write(transaction("post-charge", "t", 2_900));
         if (stopped) {
--- a/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
@@ -2,6 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.Await.within;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.transaction;
+import static trestlegrade.integration.StubServer.CLOSE;
 
 import io.vertx.core.json.JsonArray;
 import java.net.InetAddress;
@@ -20,7 +27,7 @@
  * A client leaves while its transaction waits: in each place where one can wait nothing is written for it from then on,
  * whether the settings allow to call attempts off or not. The client's end is known before the wait ends, in each test.
  */
-class ClientDisconnectIT extends Loopback {
+class ClientDisconnectIT extends SidecarFixture {
 
     private void terms(boolean cancelling) {
         settings().getJsonObject("ceilings").put("cancelling", cancelling).put("dial_timeout", 8_000);
@@ -49,7 +56,7 @@
             endpoint(r -> answer(200, "", "good")).close();
             known = new JsonArray().add(entry(0, "active").put("address", "127.0.0.1:" + full.getLocalPort()));
             serve();
-            Client client = client();
+            TestClient client = client();
             client.write(transaction(profile, "t", 30_000));
             eventually(() -> counters().getLong("connects", 0L) == 1);
             client.close();
@@ -78,12 +85,12 @@
     @ValueSource(booleans = {true, false})
     void whileThereIsNoEndpointForIt(boolean cancelling) throws Exception {
         terms(cancelling);
-        Stub endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         known = new JsonArray().add(entry(0, "leaving"));
         start();
         within(10_000, () -> health() == 503);
         eventually(() -> !discovery.seen.isEmpty());
-        Client client = client();
+        TestClient client = client();
         client.write(transaction("quote", "t", 30_000));
         eventually(() -> counters().getLong("taken", 0L) == 1);
         client.close();
@@ -107,10 +114,10 @@
             gate.pass();
             return end.equals("breaks") ? CLOSE : answer(503, "X-Never-Ran: 1\r\n", "");
         };
-        Stub first = endpoint(answers);
-        Stub second = endpoint(answers);
+        StubEndpoint first = endpoint(answers);
+        StubEndpoint second = endpoint(answers);
         serve();
-        Client client = client();
+        TestClient client = client();
         client.write(transaction("quote", "t", 30_000));
         eventually(() -> first.saw("t") || second.saw("t"));
         client.close();
@@ -124,9 +131,9 @@
     /** Half a head, and gone: it left, and did not send what cannot be read. */
     @Test
     void inTheMidstOfItsHead() throws Exception {
-        Stub endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         serve();
-        Client client = client();
+        TestClient client = client();
         client.write("GET /quote HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nX-Exp");
         client.close();
         eventually(() -> counters().getJsonObject("connections_ended").getLong("client:client-left", 0L) == 1);
@@ -139,10 +146,10 @@
     @CsvSource({"true, false", "false, false", "true, true", "false, true"})
     void beforeItIsRead(boolean cancelling, boolean reset) throws Exception {
         terms(cancelling);
-        Stub endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         serve();
         another();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
         }
@@ -151,7 +158,7 @@
         int before = endpoint.seen.size();
         signal("STOP");
         eventually(this::stopped);
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             each.write(transaction("quote", "t" + clients.indexOf(each), 30_000));
             each.leave(reset);
         }
@@ -180,16 +187,16 @@
     void inTheListenersQueue(boolean cancelling) throws Exception {
         terms(cancelling);
         sockets = 64;
-        Stub endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         serve();
         another();
         for (int round = 0; round < 3; round++) {
             String trace = "t" + round;
-            List<Client> holding = new ArrayList<>();
+            List<TestClient> holding = new ArrayList<>();
             for (int i = 0; i < DescriptorBudget.forClients(sockets).most(); i++) {
                 holding.add(client());
             }
-            List<Client> queue = new ArrayList<>();
+            List<TestClient> queue = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
                 queue.add(client());
                 queue.get(i).write(transaction("quote", trace + "-" + i, 30_000));
@@ -198,10 +205,10 @@
                 queue.get(i).leave(i % 2 == 0);
             }
             pause(350);
-            for (Client each : holding) {
+            for (TestClient each : holding) {
                 each.close();
             }
-            for (Client each : queue.subList(0, 2)) {
+            for (TestClient each : queue.subList(0, 2)) {
                 assertTrue(each.read().startsWith("HTTP/1.1 "));
                 each.close();
             }
@@ -221,14 +228,14 @@
     void behindAnotherOnItsConnection(boolean cancelling, int ahead) throws Exception {
         terms(cancelling);
         Gate gate = new Gate();
-        Stub endpoint = endpoint(r -> {
+        StubEndpoint endpoint = endpoint(r -> {
             if ("t0".equals(header(r, "X-Trace-Id"))) {
                 gate.pass();
             }
             return answer(200, "", "good");
         });
         serve();
-        Client client = client();
+        TestClient client = client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < ahead; i++) {
             all.append(transaction("quote", "t" + i, 30_000));
@@ -249,9 +256,9 @@
     @Test
     void thoseSentAheadByOneThatStaysAreServedInOrder() throws Exception {
         terms(true);
-        Stub endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
         serve();
-        Client client = client();
+        TestClient client = client();
         for (int round = 0; round < 5; round++) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 30; i++) {
@@ -271,14 +278,14 @@
     void oneThatSendsFarTooMuchAheadIsAnsweredForAWhile() throws Exception {
         terms(true);
         Gate gate = new Gate();
-        Stub endpoint = endpoint(r -> {
+        StubEndpoint endpoint = endpoint(r -> {
             if ("t0".equals(header(r, "X-Trace-Id"))) {
                 gate.pass();
             }
             return answer(200, "", header(r, "X-Trace-Id"));
         });
         serve();
-        Client client = client();
+        TestClient client = client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 1_000; i++) {
             all.append(transaction("quote", "t" + i, 30_000));
--- a/sidecar/src/test/java/trestlegrade/integration/CompletedTransactionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/CompletedTransactionsIT.java
@@ -2,6 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.transaction;
 
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
@@ -21,11 +24,11 @@
  * not where a transaction ends. Proved by the runtime's last line (Java heap space) and by the classes on the heap:
  * 33,880 transactions held after 33,880 refusals.
  */
-class CompletedTransactionsIT extends Loopback {
+class CompletedTransactionsIT extends SidecarFixture {
     // With bodies of 64 KiB more than the heap holds.
     private static final int MANY = 1_600;
 
-    private final Stub endpoint = endpoint(r -> answer(200, "", "good"));
+    private final StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
 
     @BeforeEach
     void shortGoals() {
@@ -40,7 +43,7 @@
     }
 
     private void refused(int from, int to) {
-        try (Client client = new Client(port)) {
+        try (TestClient client = new TestClient(port)) {
             for (int i = from; i < to; i++) {
                 assertTrue(client.ask(posted("t" + i)).startsWith("HTTP/1.1 503 "));
             }
@@ -79,7 +82,7 @@
                 .forEach(each -> ((JsonObject) each).put("service_goal", 8_000).put("hard_limit", 9_000));
         start();
         eventually(() -> counters().getJsonObject("now") != null);
-        Client client = client();
+        TestClient client = client();
         client.write(transaction("quote", "t", 8_000));
         eventually(() -> counters().getJsonObject("now").getInteger("transactions") == 1);
         Path file = dir.resolve("config.json");
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointListIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointListIT.java
@@ -4,6 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.Await.within;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.transaction;
+import static trestlegrade.integration.StubServer.HANG;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -25,8 +31,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The list of endpoints and its watch: what is cut, unusable, quiet or ends meets what is being sent. */
-class EndpointListIT extends Loopback {
-    private final Stub[] at = {endpoint(r -> answer(200, "", "good")), endpoint(r -> answer(200, "", "good"))};
+class EndpointListIT extends SidecarFixture {
+    private final StubEndpoint[] at = {endpoint(r -> answer(200, "", "good")), endpoint(r -> answer(200, "", "good"))};
 
     /** What a watch brings, and when, is each test's own. */
     @BeforeEach
@@ -53,7 +59,7 @@
     /** How many of twenty went to each. */
     private int[] shares(String trace) throws Exception {
         int[] before = {at[0].seen.size(), at[1].seen.size()};
-        Client client = client();
+        TestClient client = client();
         for (int i = 0; i < 20; i++) {
             assertTrue(client.ask(transaction("quote", trace + i, 9_000)).startsWith("HTTP/1.1 200 "));
         }
@@ -70,7 +76,7 @@
         AtomicInteger tries = new AtomicInteger();
         for (int i = 0; i < 20; i++) {
             eventually(() -> {
-                try (Client client = new Client(port)) {
+                try (TestClient client = new TestClient(port)) {
                     String got = client.ask(transaction("quote", trace + tries.incrementAndGet(), 9_000));
                     assertTrue(got.startsWith("HTTP/1.1 200 ") || got.startsWith("HTTP/1.1 503 "), got);
                     return got.startsWith("HTTP/1.1 200 ");
@@ -261,7 +267,7 @@
     @Test
     void aLineAndTransactionsInOneTurn() throws Exception {
         watched();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
             clients.get(i).ask(transaction("quote", "t" + i, 900));
@@ -276,7 +282,7 @@
         // Past any grace; and more than the loop's own lateness on a busy machine.
         pause(1_100);
         signal("CONT");
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             assertTrue(each.read().startsWith("HTTP/1.1 200 "));
         }
         assertEquals(before, at[0].seen.size());
@@ -314,7 +320,7 @@
         discovery.end(0, true);
         eventually(() -> discovery.seen.size() >= 2);
         // So many that others wait for whatever descriptor is free, for 20 s.
-        List<Client> idle = new ArrayList<>();
+        List<TestClient> idle = new ArrayList<>();
         for (int i = 0; i < 10 * sockets; i++) {
             idle.add(client());
         }
@@ -323,7 +329,7 @@
         // 2.75 s at the most, and a second for a busy machine.
         within(3_750, () -> discovery.seen.size() > before);
         discovery.line(list(9, false, entry(0, "leaving")));
-        for (Client each : idle.subList(idle.size() / 10, idle.size())) {
+        for (TestClient each : idle.subList(idle.size() / 10, idle.size())) {
             each.close();
         }
         told(2);
@@ -333,7 +339,7 @@
     /** A begin that waits for its time is not begun where discovery was before. */
     @Test
     void aMoveWhileABeginWaits() throws Exception {
-        Stub elsewhere = new Stub(r -> HANG);
+        StubDiscovery elsewhere = new StubDiscovery(r -> HANG);
         opened.add(elsewhere);
         discovery.answers = r -> answer(200, "Connection: close\r\n", list(discovery.seen.size() + 7, false) + "\n");
         serve();
@@ -367,7 +373,7 @@
             JsonObject there = entry(0, "active").put("address", "127.0.0.1:" + full.getLocalPort());
             known = new JsonArray().add(there);
             watched();
-            Client client = client();
+            TestClient client = client();
             client.write(transaction("post-charge", "t", 30_000));
             eventually(() -> counters().getLong("connects", 0L) == 1);
             JsonObject gone = there.copy().put("status", says.equals("again") ? "left" : says);
@@ -425,7 +431,7 @@
         start();
         eventually(() -> discovery.seen.size() == 1);
         assertNotEquals(200, health());
-        assertThrows(IOException.class, () -> new Client(port), "took a connection before the list had come");
+        assertThrows(IOException.class, () -> new TestClient(port), "took a connection before the list had come");
         discovery.line(list(8, false, entry(0, "leaving")));
         eventually(() -> health() == 200);
         assertEquals(0, shares("t")[0]);
--- a/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
@@ -2,6 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.transaction;
+import static trestlegrade.integration.StubServer.HANG;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -18,8 +23,8 @@
 import trestlegrade.inbound.DescriptorBudget;
 
 /** The end of the program and new settings meet what is being taken, read and answered. */
-class GracefulShutdownIT extends Loopback {
-    private final Stub endpoint = endpoint(r -> answer(200, "", "good"));
+class GracefulShutdownIT extends SidecarFixture {
+    private final StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
 
     private static JsonObject limits(JsonObject settings, long limit, long goal) {
         return settings.put(
@@ -41,7 +46,7 @@
     }
 
     /** The program's own end is not what ends a client's connection: its answer is, or that it stood idle. */
-    private static void answered(Client client) throws Exception {
+    private static void answered(TestClient client) throws Exception {
         String got = client.read();
         assertTrue(got.startsWith("HTTP/1.1 "), "'" + got + "' in place of an answer");
     }
@@ -49,8 +54,8 @@
     /**
      * From its last connection's end on nothing can be lost: how soon the machine halts the program is not the point.
      */
-    private static void closedWithin(long milliseconds, long start, Client... clients) throws Exception {
-        for (Client each : clients) {
+    private static void closedWithin(long milliseconds, long start, TestClient... clients) throws Exception {
+        for (TestClient each : clients) {
             assertEquals("", each.read());
         }
         long took = (System.nanoTime() - start) / 1_000_000;
@@ -65,7 +70,7 @@
     void withShortLimitsWhatCameDuringAStallIsAnsweredBeforeTheEnd() throws Exception {
         limits(settings(), 300, 150);
         serve();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             clients.add(client());
             answered(ask(clients.get(i), "t" + i));
@@ -77,24 +82,24 @@
         for (int i = 10; i < 40; i++) {
             clients.add(client());
         }
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             ask(each, "u" + clients.indexOf(each));
         }
         // All was over by then: it ended half a second after the signal, and its clients are expected up to 0.4 s.
         pause(700);
         signal("CONT");
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             answered(each);
         }
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
-    private static Client ask(Client client, String trace) throws Exception {
+    private static TestClient ask(TestClient client, String trace) throws Exception {
         return ask(client, trace, 300);
     }
 
-    private static Client ask(Client client, String trace, int wait) throws Exception {
+    private static TestClient ask(TestClient client, String trace, int wait) throws Exception {
         client.write(transaction("quote", trace, wait));
         return client;
     }
@@ -104,7 +109,7 @@
     void withShortLimitsItServesAsLongAsClientsCome() throws Exception {
         limits(settings(), 300, 150);
         serve();
-        Client kept = client();
+        TestClient kept = client();
         answered(ask(kept, "t"));
         long start = System.nanoTime();
         process.destroy();
@@ -131,13 +136,13 @@
         for (int i = 0; i < DescriptorBudget.forClients(sockets).most(); i++) {
             client();
         }
-        List<Client> queue = new ArrayList<>();
+        List<TestClient> queue = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             queue.add(client());
             ask(queue.get(i), "u" + i, 1_000);
         }
         process.destroy();
-        for (Client each : queue) {
+        for (TestClient each : queue) {
             answered(each);
         }
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
@@ -150,7 +155,7 @@
         limits(settings(), 9_000, 4_000);
         endpoint.answers = r -> HANG;
         serve();
-        Client client = client();
+        TestClient client = client();
         client.write(transaction("post-charge", "t", 8_000));
         eventually(() -> endpoint.saw("t"));
         reread(limits(settings().copy(), 400, 200));
@@ -167,10 +172,10 @@
     void newSettingsBehindTheWordToEndDoNotMoveTheEnd(long limit) throws Exception {
         limits(settings(), 1_500, 600);
         serve();
-        Client client = client();
+        TestClient client = client();
         client.ask(transaction("post-charge", "t", 1_500));
         endpoint.answers = r -> HANG;
-        Client open = client();
+        TestClient open = client();
         open.write(transaction("post-charge", "u", 1_500));
         eventually(() -> endpoint.saw("u"));
         long start = System.nanoTime();
@@ -192,14 +197,14 @@
         serve();
         long start = System.nanoTime();
         process.destroy();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         // It closes 600 ms after the signal, for no client is left then.
         for (int at : new int[] {540, 550, 560, 570, 580}) {
             pause(Math.max(0, at - (System.nanoTime() - start) / 1_000_000));
             clients.add(client());
         }
         pause(Math.max(0, 630 - (System.nanoTime() - start) / 1_000_000));
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             answered(ask(each, "u" + clients.indexOf(each)));
         }
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
@@ -213,7 +218,7 @@
     @Test
     void ofTwoWordsToRereadTheLaterHolds() throws Exception {
         serve();
-        Stub[] places = {new Stub(r -> HANG), new Stub(r -> HANG)};
+        StubDiscovery[] places = {new StubDiscovery(r -> HANG), new StubDiscovery(r -> HANG)};
         opened.addAll(List.of(places));
         Path file = dir.resolve("config.json");
         JsonObject before = new JsonObject(Files.readString(file));
@@ -223,7 +228,7 @@
         pause(200);
         signal("HUP");
         pause(200);
-        for (Stub place : places) {
+        for (StubDiscovery place : places) {
             int read = log().split("code=read", -1).length;
             // Opened for both, it waits for no reader: should there be none, what is written is lost, and told by the
             // log.
@@ -242,7 +247,7 @@
     @Test
     void halfARequestIsNotHeldUntilTheEnd() throws Exception {
         serve();
-        Client client = client();
+        TestClient client = client();
         answered(ask(client, "t", 1_500));
         process.destroy();
         eventually(() -> log().contains("code=leaving"));
--- a/sidecar/src/test/java/trestlegrade/integration/PolicySettingsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/PolicySettingsIT.java
@@ -2,6 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.transaction;
+import static trestlegrade.integration.StubServer.HANG;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -12,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Settings that no deployment of today has. */
-class PolicySettingsIT extends Loopback {
+class PolicySettingsIT extends SidecarFixture {
 
     private static String bytes(String text) {
         return new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
@@ -21,7 +25,7 @@
     /** Names are the settings' own, in the field or else in the path, and none is taken for another. */
     @Test
     void profilesGoByTheirWholeNames() throws Exception {
-        Stub endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         List<String> names = List.of("p", "pay", "pay-check", "Pay", "gr\u00f6\u00dfte", "a'b\"c*", "x.%7E;y");
         JsonArray profiles = new JsonArray();
         for (String name : names) {
@@ -59,7 +63,7 @@
     @ParameterizedTest
     @ValueSource(ints = {60, 350, 10_000})
     void withEveryAllowanceOffEachHasItsOneAnswerInTime(int limit) throws Exception {
-        Stub silent = endpoint(r -> HANG);
+        StubEndpoint silent = endpoint(r -> HANG);
         settings().remove("azs");
         settings().remove("n_instances");
         settings()
@@ -79,7 +83,7 @@
         known = new JsonArray().add(entry(0, "active").put("zone", ""));
         serve();
         int wait = Math.min(limit, 2_000);
-        Client client = client();
+        TestClient client = client();
         for (String profile : List.of("quote", "post-charge")) {
             long start = System.nanoTime();
             String got = client.ask(transaction(profile, "t-" + profile, wait));
--- a/sidecar/src/test/java/trestlegrade/integration/PooledConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/PooledConnectionsIT.java
@@ -2,6 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.transaction;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What an endpoint sends or ends on a connection meets the next attempt that would take it. */
-class PooledConnectionsIT extends Loopback {
+class PooledConnectionsIT extends SidecarFixture {
 
     /**
      * A second answer is written some milliseconds behind the first, when the next transaction is out already: it must
@@ -19,14 +24,14 @@
     @ParameterizedTest
     @ValueSource(strings = {"quote", "post-charge"})
     void aSecondAnswerThatComesLateReachesNobody(String profile) throws Exception {
-        Stub endpoint = endpoint(r -> {
+        StubEndpoint endpoint = endpoint(r -> {
             // The next attempt's own answer comes later than the stray one.
             pause(12);
             return answer(200, "", header(r, "X-Trace-Id"));
         });
         endpoint.straysAfter = 8;
         serve();
-        Client client = client();
+        TestClient client = client();
         for (int i = 0; i < 60; i++) {
             String got = client.ask(transaction(profile, "t" + i, 900));
             String whose = got.substring(got.indexOf("\r\n\r\n") + 4);
@@ -50,10 +55,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"quote", "post-charge"})
     void aSecondAnswerThatIsHeldBackReachesNobody(String profile) throws Exception {
-        Stub endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
         patient();
         serve();
-        Client client = client();
+        TestClient client = client();
         // A machine that is late itself writes none in some rounds.
         for (int round = 0; endpoint.strayed.size() < 6; round++) {
             for (int i = 0; i < 5; i++) {
@@ -75,9 +80,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"end", "reset", "half a line"})
     void anIdleConnectionEndsInTheTurnInWhichItWouldBeTaken(String happens) throws Exception {
-        Stub endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
         serve();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             clients.add(client());
             clients.get(i).ask(transaction("quote", "t" + i, 900));
@@ -94,12 +99,12 @@
                 endpoint.end(i, happens.equals("reset"));
             }
         }
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             each.write(transaction("post-charge", "u" + clients.indexOf(each), 2_900));
         }
         pause(200);
         signal("CONT");
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             String got = each.read();
             assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("u" + clients.indexOf(each)), got);
         }
@@ -113,14 +118,14 @@
     @Test
     void anAnswerAndTheEndOfItsTransactionInOneTurn() throws Exception {
         Gate gate = new Gate();
-        Stub endpoint = endpoint(r -> {
+        StubEndpoint endpoint = endpoint(r -> {
             if (header(r, "X-Trace-Id").startsWith("u")) {
                 gate.pass();
             }
             return answer(200, "", header(r, "X-Trace-Id"));
         });
         serve();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
             clients.get(i).write(transaction(i % 2 == 0 ? "quote" : "post-charge", "u" + i, 1_000));
@@ -132,7 +137,7 @@
         // Past the ends of all, with a quarter of the wait kept before each.
         pause(1_100);
         signal("CONT");
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             String got = each.read();
             int i = clients.indexOf(each);
             assertTrue(
@@ -140,7 +145,7 @@
                     got);
         }
         // One answer to each: the next on the same connection is the next one's own.
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             String trace = "v" + clients.indexOf(each);
             String got = each.ask(transaction("quote", trace, 900));
             assertTrue(got.endsWith("\r\n\r\n" + trace) || got.startsWith("HTTP/1.1 503 "), got);
--- a/sidecar/src/test/java/trestlegrade/integration/ResponseReaderIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ResponseReaderIT.java
@@ -2,6 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.HttpText.transaction;
+import static trestlegrade.integration.StubServer.HANG;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -9,11 +13,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** An endpoint's answer that its connection ends, or that comes in parts: only a whole one is committed. */
-class ResponseReaderIT extends Loopback {
+class ResponseReaderIT extends SidecarFixture {
     private static final String NO_LENGTH = "HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\n";
 
-    private Stub endpoint;
-    private Client client;
+    private StubEndpoint endpoint;
+    private TestClient client;
 
     /** A transaction that may not be repeated is out, so that what its answer was taken for is what the client gets. */
     private void out(String trace) throws Exception {
--- a/sidecar/src/test/java/trestlegrade/integration/ScaleIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ScaleIT.java
@@ -2,6 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.Await.within;
+import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.transaction;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -31,13 +36,13 @@
 
 /** As many endpoints and zones as the operators may list, with as many connections as the settings allow. */
 @Isolated("takes all cores for some seconds, and others time what they see")
-class ScaleIT extends Loopback {
+class ScaleIT extends SidecarFixture {
     private static final int MANY = 1_024;
     private static final int LIMIT_MB = 192;
 
     /** All endpoints, each at an address of loopback of its own, on one thread; requests have no bodies. */
     private static final class Fleet implements AutoCloseable, Runnable {
-        private static final byte[] ANSWER = Loopback.answer(200, "", "good").getBytes(StandardCharsets.ISO_8859_1);
+        private static final byte[] ANSWER = HttpText.answer(200, "", "good").getBytes(StandardCharsets.ISO_8859_1);
 
         private final Selector selector = Selector.open();
         private final List<ServerSocketChannel> listeners = new ArrayList<>();
@@ -131,13 +136,13 @@
             for (int i = 0; i < 8; i++) {
                 String name = trace + i + "-";
                 Callable<Void> work = () -> {
-                    Client client = new Client(port);
+                    TestClient client = new TestClient(port);
                     for (int j = 0; j < number / 8; j++) {
                         String got = client.ask(transaction("quote", name + j, 9_000));
                         assertTrue(got.startsWith("HTTP/1.1 200 "), got);
                         if ("close".equalsIgnoreCase(header(got, "Connection"))) {
                             client.close();
-                            client = new Client(port);
+                            client = new TestClient(port);
                         }
                     }
                     client.close();
--- a/sidecar/src/test/java/trestlegrade/integration/ServeIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ServeIT.java
@@ -4,6 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.Await.within;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.transaction;
+import static trestlegrade.integration.StubServer.CLOSE;
+import static trestlegrade.integration.StubServer.HANG;
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -27,16 +35,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import trestlegrade.inbound.DescriptorBudget;
+import trestlegrade.outbound.AttemptSender;
 import trestlegrade.runtime.WarmUp;
 
 /** Starts the built program and speaks to it over loopback sockets, as client, endpoints and discovery. */
-class ServeIT extends Loopback {
+class ServeIT extends SidecarFixture {
 
     // -------------------------------------------------- what goes through
 
     @Test
     void goesOnAsTheBytesThatCame() throws Exception {
-        Stub endpoint =
+        StubEndpoint endpoint =
                 endpoint(r -> answer(200, "Content-Type: text/x-own\r\nKeep-Alive: timeout=5\r\n", "served \u00e9\n"));
         serve();
         // The log is written on a thread of its own, behind the moment at which the sidecar calls itself healthy.
@@ -77,7 +86,7 @@
         List<String> loaded = Files.readAllLines(dir.resolve("log"), StandardCharsets.ISO_8859_1).stream()
                 .filter(line -> line.contains("[class,load"))
                 .toList();
-        assertTrue(loaded.stream().anyMatch(line -> line.contains("trestlegrade.sidecar.Attempts")));
+        assertTrue(loaded.stream().anyMatch(line -> line.contains(AttemptSender.class.getName())));
         assertEquals(
                 List.of(),
                 loaded.stream()
@@ -118,8 +127,8 @@
         "quote, unsure, 200", "post-charge, unsure, 502"
     })
     void repeatsOnlyWhatMayBeRepeated(String profile, String fault, int status) throws Exception {
-        Stub good = endpoint(r -> answer(200, "", "good"));
-        Stub bad = endpoint(r -> switch (fault) {
+        StubEndpoint good = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint bad = endpoint(r -> switch (fault) {
             case "turned-away" -> answer(503, "X-Never-Ran: 1\r\n", "");
             case "error" -> answer(500, "X-Never-Ran: 1\r\n", "");
             case "unsure" -> answer(503, "", "");
@@ -130,7 +139,7 @@
             bad.close();
         }
         serve();
-        Client client = client();
+        TestClient client = client();
         int statusAtBad = 0;
         for (int i = 0; i < 200 && statusAtBad == 0; i++) {
             String trace = "t" + i;
@@ -175,10 +184,10 @@
         Function<String, String> oddOnesSpoilt = r -> asked.getAndIncrement() % 2 == 0
                 ? answer.replace("\\r", "\r").replace("\\n", "\n")
                 : answer(200, "", header(r, "X-Trace-Id"));
-        Stub first = endpoint(oddOnesSpoilt);
-        Stub second = endpoint(oddOnesSpoilt);
+        StubEndpoint first = endpoint(oddOnesSpoilt);
+        StubEndpoint second = endpoint(oddOnesSpoilt);
         serve();
-        Client client = client();
+        TestClient client = client();
         for (int i = 0; i < 3; i++) {
             long start = System.nanoTime();
             String got = client.ask(transaction("quote", "t" + i, 1_400));
@@ -200,7 +209,7 @@
     @ValueSource(strings = {"twice", "noise behind", "later", "interim", "report", "ends"})
     void whatAnAnswerBringsBesidesReachesNobody(String fault) throws Exception {
         String good = "HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n";
-        Stub endpoint = endpoint(r -> {
+        StubEndpoint endpoint = endpoint(r -> {
             String mine = good + header(r, "X-Trace-Id");
             return switch (fault) {
                 case "twice" -> mine + mine;
@@ -214,9 +223,9 @@
         serve();
         boolean kept = fault.equals("interim") || fault.equals("report");
         for (int round = 0; round < 20; round++) {
-            List<Client> pair = List.of(client(), client());
+            List<TestClient> pair = List.of(client(), client());
             for (int i = 0; i < 10; i++) {
-                for (Client each : pair) {
+                for (TestClient each : pair) {
                     String trace = pair.indexOf(each) + "" + i;
                     String got = each.ask(transaction(kept ? "quote" : "post-charge", trace, 900));
                     assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + trace), got);
@@ -235,7 +244,7 @@
     @ParameterizedTest
     @CsvSource({"quote, 503", "post-charge, 502"})
     void whatASilentEndpointKeepsIsAnsweredInTime(String profile, int status) throws Exception {
-        Stub silent = endpoint(r -> HANG);
+        StubEndpoint silent = endpoint(r -> HANG);
         serve();
         long start = System.nanoTime();
         String got = client().ask(transaction(profile, "t", 1_200));
@@ -249,9 +258,9 @@
 
     @Test
     void aClientThatLeavesFreesWhatItHeld() throws Exception {
-        Stub silent = endpoint(r -> HANG);
+        StubEndpoint silent = endpoint(r -> HANG);
         serve();
-        Client client = client();
+        TestClient client = client();
         client.write(transaction("post-charge", "t", 2_900));
         eventually(() -> silent.saw("t"));
         client.close();
@@ -263,7 +272,7 @@
 
     @Test
     void whatIsNoTransactionGetsA4xxAndServingGoesOn() throws Exception {
-        Stub endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         serve();
         String[][] cases = {
             {"400", "GET /quote HTTP/1.1\r\nHost h\r\nX-Trace-Id t\r\n\r\n"},
@@ -322,14 +331,14 @@
             },
             delimiter = '|')
     void aClientThatFinishesNothingIsEndedInTime(String sent, String status) throws Exception {
-        Stub endpoint = endpoint(r -> {
+        StubEndpoint endpoint = endpoint(r -> {
             pause(r.contains("/post-charge") ? 2_100 : 0);
             return answer(200, "", "good");
         });
         serve();
-        Client usual = client();
+        TestClient usual = client();
         usual.write(transaction("post-charge", "t", 3_000));
-        Client bad = client();
+        TestClient bad = client();
         if (sent.equals("AGAIN")) {
             assertTrue(bad.ask(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
         } else {
@@ -350,14 +359,14 @@
     /** Who reads the other length finds a second transaction in the body. */
     @Test
     void twoLengthsAreNoTransactionAndEndTheConnection() throws Exception {
-        Stub endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         serve();
         String inner = transaction("post-charge", "inner", 500);
         for (String lengths : List.of(
                 "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
                 "Transfer-Encoding: chunked\r\nContent-Length: " + (5 + inner.length()) + "\r\n",
                 "Content-Length: 3\r\nTransfer-Encoding: xchunked\r\n")) {
-            Client client = client();
+            TestClient client = client();
             String got = client.ask(
                     "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n" + lengths + "\r\n0\r\n\r\n" + inner);
             assertTrue(got.startsWith("HTTP/1.1 400 "), got);
@@ -368,12 +377,12 @@
 
     @Test
     void anIdThatIsOpenElsewhereIsTurnedAwayAndItsOwnerIsServed() throws Exception {
-        Stub endpoint = endpoint(r -> {
+        StubEndpoint endpoint = endpoint(r -> {
             pause(500);
             return answer(200, "", "good");
         });
         serve();
-        Client owner = client();
+        TestClient owner = client();
         owner.write(transaction("post-charge", "t", 2_000));
         eventually(() -> endpoint.saw("t"));
         for (int i = 0; i < 2; i++) {
@@ -398,10 +407,10 @@
                 .getJsonObject(0)
                 .put("hard_limit", 40_000)
                 .put("service_goal", 40_000);
-        Stub endpoint = endpoint(r -> HANG);
+        StubEndpoint endpoint = endpoint(r -> HANG);
         serve();
         int room = DescriptorBudget.forClients(sockets).most();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < room; i++) {
             clients.add(client());
             if (i < DescriptorBudget.forAttempts(sockets).most()) {
@@ -420,7 +429,7 @@
         endpoint(r -> answer(200, "", "good"));
         sockets = 64;
         serve();
-        Client kept = client();
+        TestClient kept = client();
         assertTrue(kept.ask(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
         for (int i = 0; i < 14; i++) {
             client();
@@ -436,10 +445,10 @@
 
     @Test
     void connectionsAreUsedAgainAndDroppedBeforeTheEndpointWould() throws Exception {
-        Stub endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         settings().getJsonObject("ceilings").put("keepalive", 1_000.0);
         serve();
-        Client client = client();
+        TestClient client = client();
         for (int i = 0; i < 5; i++) {
             client.ask(transaction("quote", "t" + i, 500));
             // A connection rests for 30 ms behind an answer.
@@ -459,7 +468,7 @@
     void connectionsThatBreakAfterIdlingAreNotTrustedAgain() throws Exception {
         AtomicInteger pooled = new AtomicInteger();
         long[] last = {System.nanoTime()};
-        Stub endpoint = endpoint(r -> HANG);
+        StubEndpoint endpoint = endpoint(r -> HANG);
         endpoint.answers = r -> {
             boolean old = pooled.getAndSet(endpoint.connections.get()) == endpoint.connections.get();
             boolean idle = System.nanoTime() - last[0] > 150_000_000;
@@ -467,7 +476,7 @@
             return old && idle ? CLOSE : answer(200, "", "good");
         };
         serve();
-        Client client = client();
+        TestClient client = client();
         int committed = 0;
         for (int i = 0; i < 10; i++) {
             committed += client.ask(transaction("post-charge", "t" + i, 900)).startsWith("HTTP/1.1 200 ") ? 1 : 0;
@@ -480,16 +489,16 @@
     /** After a time-out a connection is trusted only if it has brought an answer since. */
     @Test
     void aTimeOutEndsTheIdleConnectionsWithoutALaterAnswer() throws Exception {
-        Stub endpoint = endpoint(r -> {
+        StubEndpoint endpoint = endpoint(r -> {
             pause(100);
             return r.contains("hang") ? HANG : answer(200, "", "good");
         });
         serve();
-        List<Client> clients = List.of(client(), client(), client());
+        List<TestClient> clients = List.of(client(), client(), client());
         for (int i = 0; i < 3; i++) {
             clients.get(i).write(transaction("quote", "t" + i, 900));
         }
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             each.read();
         }
         assertEquals(3, endpoint.connections.get());
@@ -506,9 +515,9 @@
 
     @Test
     void anAnswerThatEndsItsConnectionIsNotFollowedByAnotherAttempt() throws Exception {
-        Stub endpoint = endpoint(r -> answer(200, "Connection: close\r\n", "good"));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "Connection: close\r\n", "good"));
         serve();
-        Client client = client();
+        TestClient client = client();
         for (int i = 0; i < 20; i++) {
             assertTrue(client.ask(transaction("post-charge", "t" + i, 500)).startsWith("HTTP/1.1 200 "));
         }
@@ -528,14 +537,14 @@
                     // The queue of the listener is full, as it shall be.
                 }
             }
-            Stub good = endpoint(r -> answer(200, "", "good"));
+            StubEndpoint good = endpoint(r -> answer(200, "", "good"));
             known = new JsonArray()
                     .add(entry(0, "active"))
                     .add(entry(0, "active")
                             .put("name", "s-silent")
                             .put("address", "127.0.0.1:" + silent.getLocalPort()));
             serve();
-            Client client = client();
+            TestClient client = client();
             long slowest = 0;
             // After a quarter of a second without a commit the decisions may roll back early, too: never more.
             for (int i = 0; i < 40; i++) {
@@ -552,16 +561,16 @@
 
     @Test
     void clientsBeyondTheDescriptorsAreAnsweredToo() throws Exception {
-        Stub silent = endpoint(r -> HANG);
+        StubEndpoint silent = endpoint(r -> HANG);
         sockets = 64;
         serve();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             clients.add(client());
             clients.get(i).write(transaction("post-charge", "t" + i, 600));
         }
         int rolledBack = 0;
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             String got = each.read();
             assertTrue(got.startsWith("HTTP/1.1 50"), got);
             rolledBack += got.startsWith("HTTP/1.1 503 ") ? 1 : 0;
@@ -569,12 +578,12 @@
         assertTrue(rolledBack >= 10 && rolledBack < 30, rolledBack + " rolled back");
         assertEquals(30 - rolledBack, silent.seen.size());
         silent.answers = r -> answer(200, "", "good");
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             each.close();
         }
         pause(100);
         // The decisions roll back early for a while after so much silence.
-        Client after = client();
+        TestClient after = client();
         within(5_000, () -> after.tries(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
     }
 
@@ -585,9 +594,9 @@
         endpoint(r -> answer(200, "", "good"));
         sockets = 100;
         serve();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            Client each = client();
+            TestClient each = client();
             clients.add(each);
             String got = each.ask(
                     asked.equals("quote")
@@ -612,7 +621,7 @@
         // The loop stands still for up to half a second as it starts, and remembers that, halved each second:
         // meanwhile it makes no room by connections that may hold something unread.
         pause(2_500);
-        List<Client> busy = new ArrayList<>();
+        List<TestClient> busy = new ArrayList<>();
         for (int i = 0; i < 25; i++) {
             busy.add(client());
             busy.get(i).write(transaction("post-charge", "t" + i, 2_500));
@@ -626,7 +635,7 @@
             client().ask(transaction("quote", "u" + i, 500));
         }
         assertTrue(log().contains("client code=room") && !log().contains("client code=too-many"), log());
-        for (Client each : busy) {
+        for (TestClient each : busy) {
             assertTrue(each.read().startsWith("HTTP/1.1 200 "));
         }
     }
@@ -639,7 +648,7 @@
             return answer(200, "", body);
         });
         serve();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             clients.add(client());
             clients.get(i)
@@ -647,7 +656,7 @@
                             + body.length() + "\r\n\r\n" + body);
         }
         int committed = 0;
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             String got = each.read();
             committed += got.startsWith("HTTP/1.1 200 ") && got.endsWith(body) ? 1 : 0;
         }
@@ -664,10 +673,10 @@
 
     @Test
     void nothingNewGoesToAnEndpointThatDrains() throws Exception {
-        Stub first = endpoint(r -> answer(200, "", "good"));
-        Stub second = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint first = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint second = endpoint(r -> answer(200, "", "good"));
         serve();
-        Client client = client();
+        TestClient client = client();
         for (int i = 0; i < 100; i++) {
             client.ask(transaction("quote", "t" + i, 500));
         }
@@ -689,10 +698,10 @@
     /** At one address only the one that started last can listen, whatever the list still says of the other. */
     @Test
     void aNewNameAtAnOldAddressTakesNothingOver() throws Exception {
-        Stub first = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint first = endpoint(r -> answer(200, "", "good"));
         endpoint(r -> answer(200, "", "good"));
         serve();
-        Client client = client();
+        TestClient client = client();
         for (int i = 0; i < 50; i++) {
             client.ask(transaction("quote", "t" + i, 500));
         }
@@ -745,8 +754,8 @@
     /** The process stands still past the grace; what the list said meanwhile comes before what clients sent. */
     @Test
     void aLoopThatRanLateFollowsTheListFirstAndAnswersEarlier() throws Exception {
-        Stub first = endpoint(r -> answer(200, "", "good"));
-        Stub second = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint first = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint second = endpoint(r -> answer(200, "", "good"));
         settings()
                 .put(
                         "profiles",
@@ -756,18 +765,18 @@
                                 .replace("\"hard_limit\":1500", "\"hard_limit\":3000")));
         serve();
         eventually(() -> discovery.seen.size() == 1);
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
             clients.get(i).ask(transaction("quote", "t" + i, 500));
         }
-        Client over = client();
+        TestClient over = client();
         over.ask(transaction("quote", "t20", 500));
         clients.get(0).write(transaction("quote", "u", 2_900));
         eventually(() -> first.saw("u") || second.saw("u"));
         signal("STOP");
         eventually(this::stopped);
-        for (Client each : clients.subList(1, 20)) {
+        for (TestClient each : clients.subList(1, 20)) {
             // Long enough that a busy machine has time left for them after the stop.
             each.write(transaction("post-charge", "v" + clients.indexOf(each), 2_900));
         }
@@ -776,7 +785,7 @@
         pause(1_100);
         int before = first.seen.size();
         signal("CONT");
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             assertTrue(each.read().startsWith("HTTP/1.1 200 "));
         }
         assertEquals(before, first.seen.size());
@@ -803,7 +812,7 @@
 
     @Test
     void isHealthyOnlyOnceItKnowsAnEndpoint() throws Exception {
-        Stub endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         known = new JsonArray();
         start();
         within(5_000, () -> health() == 503);
@@ -820,13 +829,13 @@
     /** Nobody else serves these clients: all goes on until the end is near, and what is taken last is answered. */
     @Test
     void onSigtermAllThatWasTakenAndStillComesIsAnswered() throws Exception {
-        Stub slow = endpoint(r -> {
+        StubEndpoint slow = endpoint(r -> {
             pause(r.contains("/post-charge") ? 1_000 : 10);
             return r.contains("silent") ? HANG : answer(200, "", "good");
         });
         serve();
-        Client busy = client();
-        Client idle = client();
+        TestClient busy = client();
+        TestClient idle = client();
         idle.ask(transaction("quote", "t0", 500));
         busy.write(transaction("post-charge", "t1", 2_000));
         eventually(() -> slow.saw("t1"));
@@ -857,7 +866,7 @@
     /** Clients that wait longer than the program is left alive get their one answer before its end all the same. */
     @Test
     void onSigtermWhatWouldOutliveItIsAnsweredBeforeItsEnd() throws Exception {
-        Stub mute = endpoint(r -> HANG);
+        StubEndpoint mute = endpoint(r -> HANG);
         settings()
                 .put(
                         "profiles",
@@ -866,7 +875,7 @@
                                 .encode()
                                 .replaceAll("\"hard_limit\":(1500|3000)", "\"hard_limit\":9000")));
         serve();
-        Client[] clients = {client(), client()};
+        TestClient[] clients = {client(), client()};
         clients[0].write(transaction("post-charge", "t0", 9_000));
         clients[1].write(transaction("quote", "t1", 9_000));
         eventually(() -> mute.saw("t0") && mute.saw("t1"));
@@ -883,7 +892,7 @@
     void onSigtermItEndsAsSoonAsItsClientsHave() throws Exception {
         endpoint(r -> answer(200, "", "good"));
         serve();
-        Client client = client();
+        TestClient client = client();
         client.ask(transaction("quote", "t", 500));
         process.destroy();
         pause(800);
@@ -896,12 +905,12 @@
     /** The file's discovery is asked from SIGHUP on; what is open, the list and the old place of a bad file stay. */
     @Test
     void onSighupTheFileIsReadAnew() throws Exception {
-        Stub first = endpoint(r -> {
+        StubEndpoint first = endpoint(r -> {
             pause(200);
             return answer(200, "", "good");
         });
         endpoint(r -> answer(200, "", "good"));
-        Stub elsewhere = new Stub(r -> HANG);
+        StubDiscovery elsewhere = new StubDiscovery(r -> HANG);
         opened.add(elsewhere);
         serve();
         eventually(() -> discovery.seen.size() == 1);
@@ -914,7 +923,7 @@
             eventually(() -> log().contains(bad.endsWith(":") ? "code=unreadable" : "discovery: must be host:port"));
         }
         assertEquals(0, discovery.ended.size());
-        Client client = client();
+        TestClient client = client();
         client.write(transaction("post-charge", "t", 2_000));
         told.put("discovery", "127.0.0.1:" + elsewhere.port())
                 .getJsonObject("limits")
@@ -979,7 +988,7 @@
         settings.getJsonObject("ceilings").put("retry_after", false);
         settings.getJsonArray("profiles")
                 .add(settings.getJsonArray("profiles").getJsonObject(0).copy().put("name", "cert"));
-        Client slow = client();
+        TestClient slow = client();
         for (int round = 0; round < 4; round++) {
             boolean there = round % 2 == 0;
             // As discovery does while nothing changes: a watch that is silent for 4.5 s is begun anew.
@@ -992,7 +1001,7 @@
             List<Thread> busy = new ArrayList<>();
             List<String> wrong = new CopyOnWriteArrayList<>();
             for (int i = 0; i < 4; i++) {
-                Client client = client();
+                TestClient client = client();
                 Thread thread = new Thread(() -> {
                     for (int n = 0; n < 60; n++) {
                         String trace = "t" + at.getAndIncrement();
@@ -1021,7 +1030,7 @@
             assertEquals(List.of(), wrong);
             assertTrue(slow.read().endsWith("slow" + round));
             int[] seen = endpoints.stream().mapToInt(e -> e.seen.size()).toArray();
-            Client client = client();
+            TestClient client = client();
             for (int n = 0; n < 20; n++) {
                 assertTrue(client.ask(transaction("quote", "z" + round + "-" + n, 900))
                         .startsWith("HTTP/1.1 200 "));
@@ -1064,7 +1073,7 @@
         output = ProcessBuilder.Redirect.PIPE;
         serve();
         for (int i = 0; i < 4_000; i++) {
-            try (Client client = new Client(port)) {
+            try (TestClient client = new TestClient(port)) {
                 assertTrue(client.ask(transaction("quote", "t" + i, 1_000)).startsWith("HTTP/1.1 200 "));
             }
         }
--- a/sidecar/src/test/java/trestlegrade/integration/StaleEndpointListIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StaleEndpointListIT.java
@@ -2,6 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.Await.within;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.transaction;
+import static trestlegrade.integration.StubServer.HANG;
 
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
@@ -21,7 +27,7 @@
  * shorter back-off only moved the odds. Proved by the replay (the watch lines of the log have refusals alone, no line
  * of a list came) and by the discovery below, which refuses every call: the program went on for ever.
  */
-class StaleEndpointListIT extends Loopback {
+class StaleEndpointListIT extends SidecarFixture {
     /** A change counts as told so long after discovery had it, whatever failed. */
     private static final long TOLD_MS = 6_000;
 
@@ -37,8 +43,8 @@
     private volatile boolean firstDrains;
 
     private volatile boolean secondDrains;
-    private final Stub first = endpoint(r -> reach(firstDrains));
-    private final Stub second = endpoint(r -> reach(secondDrains));
+    private final StubEndpoint first = endpoint(r -> reach(firstDrains));
+    private final StubEndpoint second = endpoint(r -> reach(secondDrains));
 
     private String reach(boolean drains) {
         reached.add(millis());
@@ -71,7 +77,7 @@
         Thread thread = new Thread(() -> {
             int id = 0;
             while (sending) {
-                try (Client client = new Client(port)) {
+                try (TestClient client = new TestClient(port)) {
                     for (boolean open = true; sending && open; pause(20)) {
                         long asked = millis();
                         String got = client.ask(transaction("quote", "t" + ++id, 30_000));
@@ -116,7 +122,7 @@
     }
 
     /** It serves again once discovery does, and not by the server that drained meanwhile. */
-    private void servesAgain(Stub list) throws Exception {
+    private void servesAgain(StubDiscovery list) throws Exception {
         list.answers = r -> HANG;
         int before = list.seen.size();
         eventually(() -> list.seen.size() > before);
@@ -184,7 +190,7 @@
         pause(500);
         assertTrue(reached.size() > before, "served through the outage");
         drain();
-        Stub back = new Stub(StaleEndpointListIT::refuseInTurn, place);
+        StubDiscovery back = new StubDiscovery(StaleEndpointListIT::refuseInTurn, place);
         back.beats = false;
         opened.add(back);
         stopsBy(millis() + TOLD_MS + GRACE_MS);
@@ -196,7 +202,7 @@
     void discoveryMovedToAPlaceThatTurnsEveryCallAway() throws Exception {
         serve();
         discovery.line(list(8, false));
-        Stub elsewhere = new Stub(StaleEndpointListIT::refuseInTurn);
+        StubDiscovery elsewhere = new StubDiscovery(StaleEndpointListIT::refuseInTurn);
         elsewhere.beats = false;
         opened.add(elsewhere);
         send();
--- a/sidecar/src/test/java/trestlegrade/integration/StartupIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StartupIT.java
@@ -2,6 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.transaction;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +13,7 @@
 
 /** Many sidecars that start at once, as after a release or the loss of their machine. */
 @Isolated("takes all cores for some seconds, and others time what they see")
-class StartupIT extends Loopback {
+class StartupIT extends SidecarFixture {
     private static final int PROCESSES = 10;
 
     /** The operators' term: nine in ten are ready within 10 s, and each takes transactions from then on. */
@@ -40,7 +43,7 @@
                 return waiting.isEmpty();
             });
             for (int i = 0; i < PROCESSES; i++) {
-                try (Client client = new Client(ports.get(i))) {
+                try (TestClient client = new TestClient(ports.get(i))) {
                     assertEquals(
                             "200",
                             client.ask(transaction("post-charge", "t" + i, 3_000))
--- /dev/null
+++ b/sidecar/src/test/java/trestlegrade/integration/StubServer.java
@@ -0,0 +1,157 @@
+package trestlegrade.integration;
+
+import static trestlegrade.integration.HttpText.header;
+
+import java.io.BufferedInputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Function;
+
+/**
+ * A server on loopback whose answers the test gives: a whole message, nothing ({@link #HANG}), or the end of the
+ * connection ({@link #CLOSE}). Its system may hold back what it writes behind an answer until that is acknowledged (no
+ * TCP_NODELAY).
+ */
+abstract class StubServer implements AutoCloseable {
+    /** In place of an answer: none, and the connection stays open. */
+    static final String HANG = "";
+
+    /** In place of an answer: the end of the connection. */
+    static final String CLOSE = null;
+
+    /** Enough for the connects of all clients of a test at once. */
+    private static final int BACKLOG = 1_024;
+
+    /** All requests so far, whole, as text. */
+    final List<String> seen = new CopyOnWriteArrayList<>();
+
+    /** Connections that have ended, from either side. */
+    final List<Socket> ended = new CopyOnWriteArrayList<>();
+
+    final AtomicInteger connections = new AtomicInteger();
+
+    /** From a request to its answer, {@link #HANG} or {@link #CLOSE}; runs on the connection's own thread. */
+    volatile Function<String, String> answers;
+
+    private final List<Socket> sockets = new CopyOnWriteArrayList<>();
+    private final ServerSocket listener;
+
+    /** Work on a thread of its own, which ends once a socket that it uses is closed. */
+    interface Work {
+        void run() throws IOException;
+    }
+
+    /** At this port, or one that the system chooses for 0. */
+    StubServer(Function<String, String> answers, int port) {
+        this.answers = answers;
+        try {
+            listener = new ServerSocket(port, BACKLOG, InetAddress.getLoopbackAddress());
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
+        }
+        inBackground(() -> {
+            while (true) {
+                Socket socket = listener.accept();
+                connections.incrementAndGet();
+                sockets.add(socket);
+                inBackground(() -> converse(socket));
+            }
+        });
+    }
+
+    private void converse(Socket socket) throws IOException {
+        try (socket) {
+            InputStream in = new BufferedInputStream(socket.getInputStream());
+            for (String got = HttpText.message(in); !got.isEmpty(); got = HttpText.message(in)) {
+                seen.add(got);
+                String answer = answers.apply(got);
+                if (answer == null) {
+                    return;
+                }
+                if (!reply(socket, got, answer)) {
+                    return;
+                }
+            }
+        } finally {
+            ended.add(socket);
+        }
+    }
+
+    /** Writes the answer, which may be {@link #HANG}; returns whether the connection goes on. */
+    abstract boolean reply(Socket socket, String request, String answer) throws IOException;
+
+    static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    }
+
+    /** The connection that was opened at this place in the order of all. */
+    Socket socket(int connection) {
+        return sockets.get(connection);
+    }
+
+    int indexOf(Socket socket) {
+        return sockets.indexOf(socket);
+    }
+
+    /** The place of the connection that was opened last. */
+    int latest() {
+        return sockets.size() - 1;
+    }
+
+    /** Whether a request with this trace id has come. */
+    boolean saw(String trace) {
+        return seen.stream().anyMatch(s -> trace.equals(header(s, "X-Trace-Id")));
+    }
+
+    /** Bytes as they are, on the connection that came last. */
+    void send(String text) throws IOException {
+        send(latest(), text);
+    }
+
+    /** Bytes as they are. */
+    void send(int connection, String text) throws IOException {
+        write(socket(connection), text);
+    }
+
+    /** Ends a connection, at once with all that is on its way or with a reset behind it. */
+    void end(int connection, boolean reset) throws IOException {
+        socket(connection).setSoLinger(reset, 0);
+        socket(connection).close();
+    }
+
+    /** Ends all connections; the server still listens. */
+    void dropAll() throws IOException {
+        for (Socket each : sockets) {
+            each.close();
+        }
+    }
+
+    int port() {
+        return listener.getLocalPort();
+    }
+
+    @Override
+    public void close() throws IOException {
+        listener.close();
+        dropAll();
+    }
+
+    static void inBackground(Work work) {
+        Thread thread = new Thread(() -> {
+            try {
+                work.run();
+            } catch (IOException e) {
+                // The other side or the test's end closed the socket.
+            }
+        });
+        thread.setDaemon(true);
+        thread.start();
+    }
+}
--- a/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
@@ -2,6 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.Await.within;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.transaction;
+import static trestlegrade.integration.StubServer.HANG;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -16,8 +23,8 @@
 import trestlegrade.lab.soak.SystemCallShim.Field;
 
 /** The system calls of the process fail as their manual pages say: each request has its answer in time all the same. */
-class SystemCallsIT extends Loopback {
-    private final Stub endpoint = endpoint(r -> answer(200, "", "good"));
+class SystemCallsIT extends SidecarFixture {
+    private final StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
     private SystemCallShim shim;
 
     @BeforeEach
@@ -32,7 +39,7 @@
     @EnumSource(names = {"ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
     void acceptFailsForAWhile(Errno errno) throws Exception {
         shim.fail(Field.ACCEPT_ERRNO, Field.ACCEPT_RATE, errno, SystemCallShim.ALL);
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             clients.add(client());
             clients.get(i).write(transaction("quote", "t" + i, 1_400));
@@ -40,7 +47,7 @@
         pause(400);
         shim.set(Field.ACCEPT_RATE, 0);
         Stopwatch watch = new Stopwatch();
-        for (Client each : clients) {
+        for (TestClient each : clients) {
             assertTrue(each.read().startsWith("HTTP/1.1 200 "));
         }
         assertTrue(watch.milliseconds() < 300, "answered after " + watch.milliseconds() + " ms");
@@ -63,7 +70,7 @@
     }
 
     private void answeredAtOnceAndServedAgain(Field number, Field rate, Field done, Errno errno) throws Exception {
-        Client client = client();
+        TestClient client = client();
         shim.fail(number, rate, errno, SystemCallShim.ALL);
         for (String profile : List.of("quote", "post-charge")) {
             Stopwatch watch = new Stopwatch();
@@ -93,7 +100,7 @@
     void shortAndInterruptedReadsAndWrites() throws Exception {
         shim.set(Field.SHORT_RATE, SystemCallShim.ALL);
         shim.set(Field.INTERRUPT_RATE, SystemCallShim.ALL / 4);
-        Client client = client();
+        TestClient client = client();
         for (int i = 0; i < 10; i++) {
             String got = client.ask(transaction(i % 2 == 0 ? "quote" : "post-charge", "t" + i, 1_400));
             assertTrue(
@@ -115,7 +122,7 @@
             gate.pass();
             return answer(200, "", "good");
         };
-        Client client = client();
+        TestClient client = client();
         client.write(transaction("post-charge", "t", 2_900));
         eventually(() -> endpoint.saw("t"));
         eventually(() -> counters().getLong("attempts_sent") == 1);
@@ -129,7 +136,7 @@
                 endpoint.seen.stream()
                         .filter(r -> "t".equals(header(r, "X-Trace-Id")))
                         .count());
-        Client next = client();
+        TestClient next = client();
         eventually(() ->
                 next.tries(transaction("quote", "u" + System.nanoTime(), 1_400)).startsWith("HTTP/1.1 200 "));
         eventually(() -> counters().getJsonObject("now").getLong("transactions") == 0);
@@ -140,7 +147,7 @@
     void heldUpBeforeEachWrite() throws Exception {
         shim.set(Field.HOLD_MICROSECONDS, 150_000);
         shim.set(Field.HOLD_RATE, SystemCallShim.ALL);
-        Client client = client();
+        TestClient client = client();
         long[] seenAt = {0};
         endpoint.answers = r -> {
             seenAt[0] = System.nanoTime();
@@ -163,7 +170,7 @@
     @ParameterizedTest
     @ValueSource(longs = {-3_600, -5, 5, 3_600})
     void theWallClockSteps(long seconds) throws Exception {
-        Client client = client();
+        TestClient client = client();
         endpoint.answers = r -> HANG;
         client.write(transaction("quote", "t", 1_400));
         eventually(() -> endpoint.saw("t"));
