--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
@@ -111,7 +111,7 @@
     /** What was read behind a stall may have been written before it. */
     private void confirmed() {
         heardAt = clock.now() - Math.max(0, lateness.unread());
-        lease.confirmed(heardAt);
+        lease.renew(heardAt);
     }
 
     private long heardAt;
@@ -157,7 +157,7 @@
             spare = null;
             old.stream().filter(Objects::nonNull).forEach(each -> each.end("moved", "SIGHUP"));
             address = to;
-            lease.moved(clock.now());
+            lease.discoveryMoved(clock.now());
             // New settings come to a whole fleet at once.
             notBefore = clock.now() + backoff.beforeReplacement();
             watch();
@@ -240,7 +240,7 @@
                         if (up.failed()) {
                             end("connect-failed", up.cause());
                             if (isRefused(up.cause())) {
-                                lease.unreachable(opened);
+                                lease.discoveryUnreachable(opened);
                             }
                             return;
                         }
@@ -352,7 +352,7 @@
                 current = spare;
                 spare = null;
                 if (current == null && pushed) {
-                    lease.unwatched(clock.now());
+                    lease.pushWatchEnded(clock.now());
                     notBefore = clock.now() + pause;
                     pause = Math.min(2 * pause, LAST_PAUSE);
                     watch();
--- a/sidecar/src/main/java/trestlegrade/policy/estimate/DecayingValue.java
+++ b/sidecar/src/main/java/trestlegrade/policy/estimate/DecayingValue.java
@@ -1,25 +1,33 @@
 package trestlegrade.policy.estimate;
 
-/** A number that halves with the time since it was last told. */
+/**
+ * A value that decays exponentially with the time since it was last set. Not thread-safe.
+ *
+ * <p>Times are ticks (tenths of a millisecond) of a clock that never goes backwards.
+ */
 public final class DecayingValue {
-    private final double half;
+    private final double halfLifeTicks;
     private double value;
-    private long at;
+    private long setAtTicks;
 
-    public DecayingValue(double half) {
-        this.half = half;
+    /** Starts at 0; {@code halfLifeTicks} is the time in which the value falls to half. */
+    public DecayingValue(double halfLifeTicks) {
+        this.halfLifeTicks = halfLifeTicks;
     }
 
+    /** Returns the value as it has decayed by now. */
     public double at(long now) {
-        return value == 0 ? 0 : value * Math.pow(0.5, (now - at) / half);
+        return value == 0 ? 0 : value * Math.pow(0.5, (now - setAtTicks) / halfLifeTicks);
     }
 
-    public void set(long now, double to) {
-        value = to;
-        at = now;
+    /** Replaces the value; it decays from now on. */
+    public void set(long now, double newValue) {
+        value = newValue;
+        setAtTicks = now;
     }
 
-    public void add(long now, double more) {
-        set(now, at(now) + more);
+    /** Adds to the value as it has decayed by now. */
+    public void add(long now, double amount) {
+        set(now, at(now) + amount);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/estimate/SlidingWindow.java
+++ b/sidecar/src/main/java/trestlegrade/policy/estimate/SlidingWindow.java
@@ -1,25 +1,33 @@
 package trestlegrade.policy.estimate;
 
-/** How many there were and what they took, over a span that ends now. */
+/**
+ * Number and sum of the samples within a span of time that ends now. Not thread-safe.
+ *
+ * <p>Times are ticks (tenths of a millisecond); the unit of a sample is the caller's.
+ */
 public final class SlidingWindow {
     private final SlidingWindowSum counts;
     private final SlidingWindowSum sums;
 
-    public SlidingWindow(long span, int buckets) {
-        counts = new SlidingWindowSum(span, buckets);
-        sums = new SlidingWindowSum(span, buckets);
+    /** Keeps samples for {@code spanTicks}, at a resolution of {@code spanTicks / buckets}. */
+    public SlidingWindow(long spanTicks, int buckets) {
+        counts = new SlidingWindowSum(spanTicks, buckets);
+        sums = new SlidingWindowSum(spanTicks, buckets);
     }
 
-    public void add(long now, double took) {
+    /** Records one sample. */
+    public void add(long now, double sample) {
         counts.add(now, 1);
-        sums.add(now, took);
+        sums.add(now, sample);
     }
 
-    public double count(long now, long span) {
-        return counts.total(now, span);
+    /** Returns how many samples were recorded within the latest {@code spanTicks}. */
+    public double count(long now, long spanTicks) {
+        return counts.total(now, spanTicks);
     }
 
-    public double sum(long now, long span) {
-        return sums.total(now, span);
+    /** Returns the sum of the samples recorded within the latest {@code spanTicks}. */
+    public double sum(long now, long spanTicks) {
+        return sums.total(now, spanTicks);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/estimate/SlidingWindowSum.java
+++ b/sidecar/src/main/java/trestlegrade/policy/estimate/SlidingWindowSum.java
@@ -2,45 +2,56 @@
 
 import java.util.Arrays;
 
-/** Sums over time, in buckets of fixed width used again in a ring. */
+/**
+ * A sum over a sliding window of time, kept in a ring of buckets of equal width. Not thread-safe.
+ *
+ * <p>Times are ticks (tenths of a millisecond) of a clock that never goes backwards.
+ */
 public final class SlidingWindowSum {
-    private final long width;
-    private final double[] sums;
-    private long at;
-
-    public SlidingWindowSum(long span, int count) {
-        width = Math.max(1, span / count);
-        sums = new double[count];
+    private final long bucketTicks;
+    private final double[] buckets;
+    /** Number of the newest bucket, counted from time 0; its place in the ring is the remainder by the ring's size. */
+    private long newestBucket;
+
+    /** Keeps amounts for {@code spanTicks} in {@code bucketCount} buckets. */
+    public SlidingWindowSum(long spanTicks, int bucketCount) {
+        bucketTicks = Math.max(1, spanTicks / bucketCount);
+        buckets = new double[bucketCount];
     }
 
+    /** Adds an amount to the current bucket. */
     public void add(long now, double amount) {
-        turn(now);
-        sums[(int) (at % sums.length)] += amount;
+        advance(now);
+        buckets[(int) (newestBucket % buckets.length)] += amount;
     }
 
+    /** Returns the sum over the whole window. */
     public double total(long now) {
-        return total(now, width * sums.length);
+        return total(now, bucketTicks * buckets.length);
     }
 
-    /** The sum over the latest part of the whole span. */
-    public double total(long now, long span) {
-        turn(now);
+    /** Returns the sum over the latest part of the window, {@code spanTicks} long. */
+    public double total(long now, long spanTicks) {
+        advance(now);
+        long lastExcluded = newestBucket - spanTicks / bucketTicks;
         double total = 0;
-        for (long b = at, last = at - span / width; b > last; b--) {
-            total += sums[(int) Math.floorMod(b, (long) sums.length)];
+        for (long bucket = newestBucket; bucket > lastExcluded; bucket--) {
+            total += buckets[(int) Math.floorMod(bucket, (long) buckets.length)];
         }
         return total;
     }
 
+    /** Forgets all amounts. */
     public void clear() {
-        Arrays.fill(sums, 0);
+        Arrays.fill(buckets, 0);
     }
 
-    private void turn(long now) {
-        long bucket = now / width;
-        for (long b = Math.max(at + 1, bucket - sums.length + 1); b <= bucket; b++) {
-            sums[(int) (b % sums.length)] = 0;
+    /** Empties the buckets that have left the window since the last call. */
+    private void advance(long now) {
+        long current = now / bucketTicks;
+        for (long bucket = Math.max(newestBucket + 1, current - buckets.length + 1); bucket <= current; bucket++) {
+            buckets[(int) (bucket % buckets.length)] = 0;
         }
-        at = Math.max(at, bucket);
+        newestBucket = Math.max(newestBucket, current);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/lease/EndpointListLease.java
+++ b/sidecar/src/main/java/trestlegrade/policy/lease/EndpointListLease.java
@@ -1,84 +1,96 @@
 package trestlegrade.policy.lease;
 
 /**
- * The lease under which a sidecar sends by the list of servers that it holds. Every word of discovery renews it, and
- * without one it ends by itself: from then on a server may drain without this sidecar having heard of it, and what is
- * sent there breaks the promise to let it drain. How often discovery is asked, and why calls of it fail, has no part in
- * that.
+ * The lease under which a sidecar sends to the endpoints of its list. Not thread-safe: it belongs to the event loop.
  *
- * <p>One that drains turns away whatever is new, so a server that has served a request did not drain when that was
- * sent. Each server has a lease of its own from then on, which lets a sidecar do without discovery for as long as
- * servers serve.
+ * <p>Guards against sending to an endpoint that drains or has left. While discovery is silent, an endpoint may drain
+ * without this sidecar being notified, and counts as notified a fixed time later all the same. Each message of
+ * discovery renews the lease; without one it expires by itself, before the grace of an endpoint that began to drain
+ * unnoticed can end. How often discovery is polled, and why a call of it fails, plays no part.
  *
- * <p>Times are tenths of a millisecond of a clock that does not step.
+ * <p>A draining endpoint rejects new requests, so one that served a request was not draining when that was sent. From
+ * then on each endpoint has a lease of its own, which lets a sidecar do without discovery as long as endpoints serve.
+ *
+ * <p>Times are ticks (tenths of a millisecond) of a clock that does not step.
  */
 public final class EndpointListLease {
-    /** A change of the list counts as told so long after discovery had it and could be reached, whatever failed. */
-    static final long NOTICE = 60_000;
-    /** After new settings named another discovery all that it has counts as told so much later. */
-    static final long NOTICE_AFTER_MOVE = 40_000;
-    /** Kept of the grace for draining servers: a process may be held up for half of it before it writes. */
-    static final long HELD_UP = 3_000;
-    /** Of a server that has served nothing yet. */
+    /** Stands for the send time of an endpoint that has served nothing yet. */
     public static final long NEVER = Long.MIN_VALUE / 2;
-    /** The part of a short grace that is used all the same. */
-    static final int LEAST_PART = 3;
 
-    private long grace;
-    /** The earliest time at which a change that is not known here may count as told. */
-    private long unknownFrom;
-    /** How long after a change it may count as told at the earliest. */
-    private long notice = NOTICE;
+    /** A change counts as notified 6 s after discovery had it and could be reached, whether or not it arrived. */
+    static final long NOTIFICATION_TICKS = 60_000;
+    /** After a change of discovery's address, all that it has counts as notified 4 s later. */
+    static final long NOTIFICATION_AFTER_MOVE_TICKS = 40_000;
+    /** Part of the grace that is kept back, since a process may be held up between a decision and the write. */
+    static final long HOLD_UP_MARGIN_TICKS = 3_000;
+    /** At least this fraction (one in so many) of a short grace is used all the same. */
+    static final int MIN_GRACE_DIVISOR = 3;
+
+    private static final long FOREVER = Long.MAX_VALUE / 2;
+
+    private long drainGraceTicks;
+    /** The earliest time at which a change that is not known here may count as notified. */
+    private long notifiedFrom;
+    /** How long after a change it may count as notified, at the earliest. */
+    private long notificationTicks = NOTIFICATION_TICKS;
 
     /**
-     * Begins with a list that was confirmed at the time given; a server that drains may be sent to during the grace.
+     * Begins with a list that was confirmed at the time given.
+     *
+     * @param drainGraceTicks how long a draining endpoint may still be sent to once its drain counts as notified
      */
-    public EndpointListLease(long confirmedAt, long grace) {
-        unknownFrom = confirmedAt + NOTICE;
-        grace(grace);
+    public EndpointListLease(long confirmedAt, long drainGraceTicks) {
+        notifiedFrom = confirmedAt + NOTIFICATION_TICKS;
+        setDrainGrace(drainGraceTicks);
     }
 
-    /** One that never ends, where lists come without being watched. */
+    /** Returns a lease that never expires, for lists that arrive without a watch. */
     public static EndpointListLease permanent() {
-        return new EndpointListLease(Long.MAX_VALUE / 2, 0);
+        return new EndpointListLease(FOREVER, 0);
     }
 
-    /** New settings for how long a server that drains may be sent to. */
-    public void grace(long newGrace) {
-        grace = newGrace;
+    /** Adopts new settings for how long a draining endpoint may be sent to. */
+    public void setDrainGrace(long newDrainGraceTicks) {
+        drainGraceTicks = newDrainGraceTicks;
     }
 
-    /** Discovery spoke at this time, and had nothing that is not known here. */
-    public void confirmed(long at) {
-        unknownFrom = Math.max(unknownFrom, at + NOTICE);
-        notice = NOTICE;
+    /** Renews the lease: discovery was heard at this time and had nothing that is not known here. */
+    public void renew(long heardAt) {
+        notifiedFrom = Math.max(notifiedFrom, heardAt + NOTIFICATION_TICKS);
+        notificationTicks = NOTIFICATION_TICKS;
     }
 
-    /** Nothing listened at discovery's address at this time: what it has can be told only after its return. */
-    public void unreachable(long at) {
-        unknownFrom = Math.max(unknownFrom, at + NOTICE);
-        notice = NOTICE;
+    /**
+     * Nothing listened at discovery's address at this time: what it has can count as notified only after its return.
+     */
+    public void discoveryUnreachable(long at) {
+        renew(at);
     }
 
-    /** Discovery is asked elsewhere from now on, and has not spoken there yet. */
-    public void moved(long now) {
-        unknownFrom = Math.min(unknownFrom, now + NOTICE_AFTER_MOVE);
-        notice = NOTICE_AFTER_MOVE;
+    /** Discovery is watched at another address from now on, and has not been heard there yet. */
+    public void discoveryMoved(long now) {
+        notifiedFrom = Math.min(notifiedFrom, now + NOTIFICATION_AFTER_MOVE_TICKS);
+        notificationTicks = NOTIFICATION_AFTER_MOVE_TICKS;
     }
 
-    /** Lists are pushed, and the watch on them has ended: what the agent learns from now on counts as told at once. */
-    public void unwatched(long now) {
-        unknownFrom = Math.min(unknownFrom, now);
-        notice = 0;
+    /** Lists are pushed and their watch has ended: what the agent learns from now on counts as notified at once. */
+    public void pushWatchEnded(long now) {
+        notifiedFrom = Math.min(notifiedFrom, now);
+        notificationTicks = 0;
     }
 
-    /** Whether all servers may be sent to by the list. */
+    /** Returns whether every endpoint of the list may be sent to. */
     public boolean valid(long now) {
         return now < end(NEVER);
     }
 
-    /** Before when a server must be sent to: what it served last was sent at the time given, or {@link #NEVER}. */
+    /**
+     * Returns the time before which an endpoint must be sent to.
+     *
+     * @param servedAt when the latest request that the endpoint served was sent, or {@link #NEVER}
+     */
     public long end(long servedAt) {
-        return Math.max(unknownFrom, servedAt + notice) + Math.max(grace - HELD_UP, grace / LEAST_PART);
+        long usableGrace = Math.max(drainGraceTicks - HOLD_UP_MARGIN_TICKS, drainGraceTicks / MIN_GRACE_DIVISOR);
+        return Math.max(notifiedFrom, servedAt + notificationTicks) + usableGrace;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/retry/DiscoveryBackoff.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/DiscoveryBackoff.java
@@ -4,60 +4,70 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * When a sidecar calls discovery, so that the calls of a whole fleet do not meet. Discovery is one service that takes
- * calls in turn, and a call that is refused because it has waited too long has used up its turn all the same: a fleet
- * whose calls failed together and are made again together fails again, for as long as it goes on.
+ * When one sidecar of a fleet calls discovery: exponential backoff with jitter that grows with the fleet. Not
+ * thread-safe.
  *
- * <p>Waits are tenths of a millisecond.
+ * <p>Guards against a retry storm. Discovery serves calls one after the other, and a call that times out in its queue
+ * has used up its turn all the same. If the calls of a fleet fail together and are repeated together, they fail
+ * together again; spreading them by the time that discovery needs for all of them lets each be served.
+ *
+ * <p>Delays are ticks (tenths of a millisecond).
  */
 public final class DiscoveryBackoff {
-    private static final long FIRST_WAIT = 5_000;
-    // Discovery's news counts as told 6 s after it can be reached again: with 2.75 s at the most a second is left to
-    // connect
-    // and two for the call's turn.
-    private static final long LONGEST_WAIT = 22_000;
-    private static final int MOST_DOUBLINGS = 6;
+    private static final long TICKS_PER_SECOND = 10_000;
+
+    private static final long INITIAL_BACKOFF_TICKS = TICKS_PER_SECOND / 2;
+    /**
+     * A change counts as notified 6 s after discovery can be reached again. With jitter the longest delay is 2.75 s,
+     * which leaves a second to connect and two for the queue.
+     */
+    private static final long MAX_BACKOFF_TICKS = 22 * TICKS_PER_SECOND / 10;
+
+    private static final int MAX_DOUBLINGS = 6;
     private static final double JITTER = 0.25;
 
-    // For each sidecar of the fleet: 40 calls a second if all call. What is not served by then is not waited for
-    // longer,
-    // since the list is needed before its lease ends.
-    private static final long TURN = 250;
-    private static final long LONGEST_START_SPREAD = 20_000;
-    private static final long LONGEST_RETRY_SPREAD = 27_500;
-    private static final long LONGEST_REPLACEMENT_SPREAD = 10_000;
-
-    private final SeededRandom chance;
-    private final int sidecars;
-    private final long longestWait;
-    private int failures;
-
-    public DiscoveryBackoff(PolicySettings terms, long seed) {
-        chance = new SeededRandom(seed);
-        sidecars = terms.sidecars();
-        longestWait = Math.min(terms.askWithin() / 4, LONGEST_WAIT);
+    /** Time that discovery is given for each sidecar of the fleet: 40 calls a second. */
+    private static final long SPREAD_TICKS_PER_SIDECAR = 250;
+    // The spreads are bounded, since the list is needed before its lease ends.
+    private static final long MAX_START_SPREAD_TICKS = 2 * TICKS_PER_SECOND;
+    private static final long MAX_RETRY_SPREAD_TICKS = 275 * TICKS_PER_SECOND / 100;
+    private static final long MAX_REPLACEMENT_SPREAD_TICKS = TICKS_PER_SECOND;
+
+    private final SeededRandom random;
+    private final long fleetSpreadTicks;
+    private final long maxBackoffTicks;
+    private int consecutiveFailures;
+
+    /** Takes the size of the fleet and the longest time without a call from the settings. */
+    public DiscoveryBackoff(PolicySettings settings, long seed) {
+        random = new SeededRandom(seed);
+        fleetSpreadTicks = settings.sidecars() * SPREAD_TICKS_PER_SIDECAR;
+        maxBackoffTicks = Math.min(settings.askWithin() / 4, MAX_BACKOFF_TICKS);
     }
 
-    /** Before the first call: all may start together, and go by the list that they were given until then. */
+    /** Returns the delay before the first call: a whole fleet may start at once, with the lists it was given. */
     public long beforeFirstCall() {
-        return (long) (chance.next() * Math.min(LONGEST_START_SPREAD, sidecars * TURN));
+        return (long) (random.next() * Math.min(MAX_START_SPREAD_TICKS, fleetSpreadTicks));
     }
 
-    /** After a call that failed, or a watch that ended: doubled with each in a row, and spread over the fleet. */
+    /** Returns the delay after a failed call or an ended watch; it doubles with each failure in a row. */
     public long afterFailure() {
-        long wait = Math.min(FIRST_WAIT << Math.min(failures++, MOST_DOUBLINGS), longestWait);
-        double least = wait * (1 - JITTER);
-        double most = Math.max(wait * (1 + JITTER), (double) Math.min(LONGEST_RETRY_SPREAD, sidecars * TURN));
-        return (long) (least + chance.next() * (most - least));
+        long backoff =
+                Math.min(INITIAL_BACKOFF_TICKS << Math.min(consecutiveFailures++, MAX_DOUBLINGS), maxBackoffTicks);
+        double min = backoff * (1 - JITTER);
+        double max = Math.max(backoff * (1 + JITTER), (double) Math.min(MAX_RETRY_SPREAD_TICKS, fleetSpreadTicks));
+        return (long) (min + random.next() * (max - min));
     }
 
-    /** Discovery has answered. */
+    /** Resets the backoff: discovery has answered. */
     public void succeeded() {
-        failures = 0;
+        consecutiveFailures = 0;
     }
 
-    /** Before a watch that is silent is replaced, or one is opened elsewhere: both may happen to all together. */
+    /**
+     * Returns the delay before a silent watch is replaced or another address is watched: a whole fleet may do either.
+     */
     public long beforeReplacement() {
-        return (long) (chance.next() * Math.min(LONGEST_REPLACEMENT_SPREAD, sidecars * TURN));
+        return (long) (random.next() * Math.min(MAX_REPLACEMENT_SPREAD_TICKS, fleetSpreadTicks));
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -241,7 +241,7 @@
             attempts.adopt(told);
             front.adopt(told);
             discovery.adopt(told.terms());
-            lease.grace(told.drainGrace());
+            lease.setDrainGrace(told.drainGrace());
             desk.adopt(
                     told.terms(),
                     commission.seed(),
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -98,9 +98,9 @@
     void loseDiscovery(boolean moved) {
         discoveryReachable = false;
         if (moved) {
-            sidecars.forEach(each -> each.lease.moved(now));
+            sidecars.forEach(each -> each.lease.discoveryMoved(now));
         } else {
-            sidecars.get(0).lease.unwatched(now);
+            sidecars.get(0).lease.pushWatchEnded(now);
         }
     }
 
@@ -204,7 +204,7 @@
             return;
         }
         for (Sidecar each : sidecars) {
-            each.lease.confirmed(now);
+            each.lease.renew(now);
             if (scenario.liveWeights() || each.toldVersion != listVersion) {
                 each.list(random.nextInt(4) == 0);
             }
@@ -366,7 +366,7 @@
             record(6, 0, 0, 0, 0);
             after(5 * MILLISECOND, () -> {
                 if (discoveryReachable) {
-                    lease.confirmed(now);
+                    lease.renew(now);
                     list(false);
                 } else {
                     balance.listFailed(now);
--- a/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
@@ -38,23 +38,23 @@
         EndpointListLease lease = new EndpointListLease(100_000, grace);
         long now = 130_000;
         switch (event) {
-            case "confirmed" -> lease.confirmed(now);
-            case "late word" -> lease.confirmed(90_000);
-            case "unreachable" -> lease.unreachable(now);
+            case "confirmed" -> lease.renew(now);
+            case "late word" -> lease.renew(90_000);
+            case "unreachable" -> lease.discoveryUnreachable(now);
             case "moved" -> {
-                lease.confirmed(now);
-                lease.moved(now);
+                lease.renew(now);
+                lease.discoveryMoved(now);
             }
-            case "unwatched" -> lease.unwatched(now);
+            case "unwatched" -> lease.pushWatchEnded(now);
             case "moved and confirmed" -> {
-                lease.moved(now);
-                lease.confirmed(now);
+                lease.discoveryMoved(now);
+                lease.renew(now);
             }
             case "unwatched and unreachable" -> {
-                lease.unwatched(now);
-                lease.unreachable(now);
+                lease.pushWatchEnded(now);
+                lease.discoveryUnreachable(now);
             }
-            case "shorter grace" -> lease.grace(2_500);
+            case "shorter grace" -> lease.setDrainGrace(2_500);
             default -> {}
         }
         assertTrue(lease.valid(end - 1));
@@ -71,7 +71,7 @@
     void decisionsSendNothingPastItsEnd() {
         EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
         PolicyHarness desk = new PolicyHarness(lease, Group.ALL, 3).fleet(State.READY, 0);
-        desk.now += EndpointListLease.NOTICE + 6_900;
+        desk.now += EndpointListLease.NOTIFICATION_TICKS + 6_900;
         long open = desk.arrive(2);
         assertEquals(1, desk.sent.size());
         desk.now += 100;
@@ -82,7 +82,7 @@
         assertEquals(2, desk.answers.size());
         assertEquals(0, desk.balance.held());
         assertEquals(List.of(RejectionReason.STALE_LIST, RejectionReason.STALE_LIST), desk.refusals);
-        lease.confirmed(desk.now);
+        lease.renew(desk.now);
         desk.pass(100);
         desk.arrive(0);
         assertEquals(2, desk.sent.size());
@@ -103,7 +103,7 @@
         assertTrue(desk.sent.size() - before > 3_000, desk.sent.size() - before + " sent");
         assertEquals(0, desk.traffic(433_000, 100, AttemptOutcome.COMMITTED, 200));
         assertFalse(desk.refusals.contains(RejectionReason.STALE_LIST));
-        lease.confirmed(desk.now);
+        lease.renew(desk.now);
         assertTrue(desk.traffic(50_000, 100, AttemptOutcome.COMMITTED, 200) > 0);
     }
 
