--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -110,7 +110,7 @@
 
     /** Every sidecar's watch on the list ends, and calls of discovery fail until it recovers. */
     void failWatches() {
-        sidecars.forEach(each -> each.balance.listFailed(now));
+        sidecars.forEach(each -> each.balance.onEndpointListFailed(now));
     }
 
     void restartSidecar(int index) {
