--- /dev/null
+++ b/sidecar/src/test/java/trestlegrade/integration/ConfigReloadIT.java
@@ -0,0 +1,80 @@
+package trestlegrade.integration;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.transaction;
+import static trestlegrade.integration.StubServer.HANG;
+
+import io.vertx.core.json.JsonObject;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+
+/** SIGHUP: the configuration is read anew in the running program. */
+class ConfigReloadIT extends SidecarFixture {
+
+    /**
+     * Discovery moves, and some of the files on the way there are bad. From SIGHUP on the file's discovery is asked,
+     * once and from the version held on; what is open, the list, and the old place under a bad file stay.
+     */
+    @Test
+    void reloadMovesDiscoveryAndKeepsWhatIsOpen() throws Exception {
+        StubEndpoint first = endpoint(r -> {
+            pause(200);
+            return answer(200, "", "good");
+        });
+        endpoint(r -> answer(200, "", "good"));
+        StubDiscovery elsewhere = new StubDiscovery(r -> HANG);
+        opened.add(elsewhere);
+        serve();
+        eventually(() -> discovery.seen.size() == 1);
+        Path file = dir.resolve("config.json");
+        JsonObject told = new JsonObject(Files.readString(file));
+        badFilesChangeNothing(file, told);
+        TestClient client = client();
+        client.write(transaction("post-charge", "t", 2_000));
+        told.put("discovery", "127.0.0.1:" + elsewhere.port())
+                .getJsonObject("limits")
+                .put("sockets", 512);
+        Files.writeString(file, told.encode());
+        for (int i = 0; i < 3; i++) {
+            signal("HUP");
+            pause(20);
+        }
+        assertTrue(client.read().startsWith("HTTP/1.1 200 "));
+        eventually(() -> elsewhere.seen.size() == 1 && discovery.ended.size() == 1);
+        assertTrue(elsewhere.seen.get(0).startsWith("GET /catalog/members?stream=1&index=7 "), elsewhere.seen.get(0));
+        assertTrue(log().contains("at_restart=[limits]"), log());
+        elsewhere.line(list(8, false, entry(0, "leaving")));
+        eventually(() -> counters().getLong("list_lines") == 1);
+        nothingGoesTo(first, client);
+        assertEquals(1, elsewhere.connections.get() + elsewhere.ended.size());
+        client.close();
+        process.destroy();
+        assertTrue(process.waitFor(2, TimeUnit.SECONDS));
+        assertEquals(0, process.exitValue());
+    }
+
+    private void badFilesChangeNothing(Path file, JsonObject told) throws Exception {
+        for (String bad :
+                List.of("{\"name\":", told.copy().put("discovery", "nowhere").encode())) {
+            Files.writeString(file, bad);
+            signal("HUP");
+            eventually(() -> log().contains(bad.endsWith(":") ? "code=unreadable" : "discovery: must be host:port"));
+        }
+        assertEquals(0, discovery.ended.size());
+    }
+
+    private static void nothingGoesTo(StubEndpoint drained, TestClient client) throws Exception {
+        int before = drained.seen.size();
+        for (int i = 0; i < 20; i++) {
+            assertTrue(client.ask(transaction("quote", "u" + i, 900)).startsWith("HTTP/1.1 200 "));
+        }
+        assertEquals(before, drained.seen.size());
+    }
+}
--- /dev/null
+++ b/sidecar/src/test/java/trestlegrade/integration/RejectedRequestsIT.java
@@ -0,0 +1,117 @@
+package trestlegrade.integration;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.transaction;
+
+import io.vertx.core.json.JsonObject;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Requests that are no transactions. */
+class RejectedRequestsIT extends SidecarFixture {
+    /** The status, and the request that gets it. */
+    private static final String[][] MALFORMED_REQUESTS = {
+        {"400", "GET /quote HTTP/1.1\r\nHost h\r\nX-Trace-Id t\r\n\r\n"},
+        {"400", "nonsense\r\n\r\n"},
+        {"414", "GET /quote?" + "a".repeat(100_000) + " HTTP/1.1\r\nHost: h\r\n\r\n"},
+        {"431", "GET /quote HTTP/1.1\r\nHost: h\r\nA: " + "a".repeat(100_000) + "\r\n\r\n"},
+        {"400", "GET /quote HTTP/1.1\r\nHost: h\r\n\r\n"},
+        {"400", "GET /quote HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nX-Expires-In: soon\r\n\r\n"},
+        {"400", "GET /quote HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nX-Expires-In: -5m\r\n\r\n"},
+        {"400", "GET /quote HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nX-Expires-In: NaNm\r\n\r\n"},
+        {"400", "GET /quote?\u00e9 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n\r\n"},
+        {"404", "GET /nothing HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n\r\n"},
+        {"404", "GET / HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n\r\n"},
+        {"404", "GET /quote HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nX-Qos: other\r\n\r\n"},
+        {
+            "413",
+            "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nContent-Length: 65537\r\n\r\n"
+                    + "x".repeat(65_537)
+        },
+        {
+            "413",
+            "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nContent-Length: 9000000\r\n\r\n"
+                    + "x".repeat(9_000_000)
+        },
+        {"400", "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nContent-Length: -1\r\n\r\n"},
+    };
+
+    /**
+     * Clients send what is no HTTP, too long, or no transaction. Each is rejected with the status for it, none reaches
+     * an endpoint, and the others are served.
+     */
+    @Test
+    void malformedRequestsGetA4xxAndServingGoesOn() throws Exception {
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
+        serve();
+        for (String[] each : MALFORMED_REQUESTS) {
+            String got = client().ask(each[1]);
+            assertEquals(
+                    each[0],
+                    got.length() < 12 ? got : got.substring(9, 12),
+                    each[1].substring(0, Math.min(80, each[1].length())));
+        }
+        assertEquals(List.of(), endpoint.seen);
+        assertTrue(client().ask(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
+        JsonObject rejected = counters().getJsonObject("rejected");
+        assertEquals(
+                MALFORMED_REQUESTS.length,
+                rejected.stream()
+                        .mapToLong(e -> ((Number) e.getValue()).longValue())
+                        .sum(),
+                rejected::encode);
+    }
+
+    /**
+     * A request has two lengths (request smuggling): who reads the other length finds a second transaction in the body.
+     * The request is rejected, and nothing behind it is read.
+     */
+    @Test
+    void conflictingLengthsAreRejectedAndEndTheConnection() throws Exception {
+        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
+        serve();
+        String inner = transaction("post-charge", "inner", 500);
+        for (String lengths : List.of(
+                "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
+                "Transfer-Encoding: chunked\r\nContent-Length: " + (5 + inner.length()) + "\r\n",
+                "Content-Length: 3\r\nTransfer-Encoding: xchunked\r\n")) {
+            TestClient client = client();
+            String got = client.ask(
+                    "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n" + lengths + "\r\n0\r\n\r\n" + inner);
+            assertTrue(got.startsWith("HTTP/1.1 400 "), got);
+            assertEquals("", client.read());
+        }
+        assertEquals(List.of(), endpoint.seen);
+    }
+
+    /**
+     * A client repeats a transaction while it is still under way on another connection: it would run twice. The second
+     * is rejected until the first has been answered or its client has gone.
+     */
+    @Test
+    void duplicateTraceIdIsRejectedWhileItsOwnerIsServed() throws Exception {
+        StubEndpoint endpoint = endpoint(r -> {
+            pause(500);
+            return answer(200, "", "good");
+        });
+        serve();
+        TestClient owner = client();
+        owner.write(transaction("post-charge", "t", 2_000));
+        eventually(() -> endpoint.saw("t"));
+        for (int i = 0; i < 2; i++) {
+            assertTrue(client().ask(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 409 "));
+        }
+        assertTrue(owner.read().startsWith("HTTP/1.1 200 "));
+        assertEquals(1, endpoint.seen.size());
+        assertTrue(owner.ask(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 200 "));
+        owner.write(transaction("post-charge", "t", 2_000));
+        eventually(() -> endpoint.seen.size() == 3);
+        owner.close();
+        eventually(() -> counters().getLong("clients_left") == 1);
+        assertTrue(client().ask(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 200 "));
+    }
+}
--- /dev/null
+++ b/sidecar/src/test/java/trestlegrade/integration/SigtermIT.java
@@ -0,0 +1,94 @@
+package trestlegrade.integration;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.eventually;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.transaction;
+import static trestlegrade.integration.StubServer.HANG;
+
+import io.vertx.core.json.JsonArray;
+import java.nio.file.Files;
+import java.util.Locale;
+import org.junit.jupiter.api.Test;
+
+/** SIGTERM while clients are served. */
+class SigtermIT extends SidecarFixture {
+    /** Nobody else serves these clients: all goes on until the end is near, and what is taken last is answered. */
+    @Test
+    void allThatWasTakenAndStillComesIsAnswered() throws Exception {
+        StubEndpoint slow = endpoint(r -> {
+            pause(r.contains("/post-charge") ? 1_000 : 10);
+            return r.contains("silent") ? HANG : answer(200, "", "good");
+        });
+        serve();
+        TestClient busy = client();
+        TestClient idle = client();
+        idle.ask(transaction("quote", "t0", 500));
+        busy.write(transaction("post-charge", "t1", 2_000));
+        eventually(() -> slow.saw("t1"));
+        long start = System.nanoTime();
+        Stopwatch watch = new Stopwatch();
+        process.destroy();
+        pause(300);
+        assertTrue(idle.ask(transaction("quote", "t2", 500)).startsWith("HTTP/1.1 200 "));
+        assertTrue(client().ask(transaction("quote", "t3", 500)).startsWith("HTTP/1.1 200 "));
+        assertEquals(503, health());
+        assertTrue(busy.read().startsWith("HTTP/1.1 200 "));
+        pause(2_350 - (System.nanoTime() - start) / 1_000_000);
+        assertTrue(idle.ask(transaction("quote", "t4", 500)).startsWith("HTTP/1.1 200 "));
+        busy.write(transaction("post-charge", "silent", 3_000));
+        String last = busy.read();
+        assertTrue(
+                last.startsWith("HTTP/1.1 502 ")
+                        && last.toLowerCase(Locale.ROOT).contains("connection: close"),
+                last);
+        assertEquals("", idle.read());
+        assertTrue(endsWithin(2_000));
+        assertTrue(watch.milliseconds() < 3_700, "ends before it is killed");
+        assertEquals(0, process.exitValue());
+        String log = Files.readString(dir.resolve("log"));
+        assertTrue(log.contains("code=ended") && log.contains("\"taken\":6,\"committed\":5"), log);
+    }
+
+    /** Clients that wait longer than the program is left alive get their one answer before its end all the same. */
+    @Test
+    void transactionsThatWouldOutliveTheProcessAreAnswered() throws Exception {
+        StubEndpoint mute = endpoint(r -> HANG);
+        settings()
+                .put(
+                        "profiles",
+                        new JsonArray(settings()
+                                .getJsonArray("profiles")
+                                .encode()
+                                .replaceAll("\"hard_limit\":(1500|3000)", "\"hard_limit\":9000")));
+        serve();
+        TestClient[] clients = {client(), client()};
+        clients[0].write(transaction("post-charge", "t0", 9_000));
+        clients[1].write(transaction("quote", "t1", 9_000));
+        eventually(() -> mute.saw("t0") && mute.saw("t1"));
+        Stopwatch watch = new Stopwatch();
+        process.destroy();
+        assertTrue(clients[0].read().startsWith("HTTP/1.1 502 "));
+        assertTrue(clients[1].read().startsWith("HTTP/1.1 503 "));
+        assertTrue(endsWithin(2_000));
+        assertTrue(watch.milliseconds() < 3_700, "ends before it is killed");
+        assertEquals(0, process.exitValue());
+    }
+
+    /** The program waits for the connections of its clients, and not for longer. */
+    @Test
+    void endsAsSoonAsItsClientsHave() throws Exception {
+        endpoint(r -> answer(200, "", "good"));
+        serve();
+        TestClient client = client();
+        client.ask(transaction("quote", "t", 500));
+        process.destroy();
+        pause(800);
+        assertTrue(process.isAlive());
+        client.close();
+        assertTrue(endsWithin(500));
+        assertEquals(0, process.exitValue());
+    }
+}
--- /dev/null
+++ b/sidecar/src/test/java/trestlegrade/integration/SlowClientsIT.java
@@ -0,0 +1,56 @@
+package trestlegrade.integration;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static trestlegrade.integration.Await.pause;
+import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.transaction;
+
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Clients that stop in the midst of a request. */
+class SlowClientsIT extends SidecarFixture {
+    /**
+     * Clients send half a request, or nothing, and keep their connection. Whatever a client leaves unfinished is ended
+     * in 3 s; what it has finished is answered however late.
+     */
+    @ParameterizedTest
+    @CsvSource(
+            value = {
+                "''|''",
+                "GET /quote HTTP/1.1\\r\\nHost: h\\r\\nX-Trace-Id|''",
+                "'\\r\\n\\r\\n\\r\\n'|''",
+                "POST /post-charge HTTP/1.1\\r\\nHost: h\\r\\nX-Trace-Id: u\\r\\nContent-Length: 9\\r\\n\\r\\nhalf|408",
+                "POST /post-charge HTTP/1.1\\r\\nHost: h\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n4\\r\\nhalf|408",
+                "POST /post-charge HTTP/1.1\\r\\nHost: h\\r\\nX-Trace-Id: u\\r\\nContent-Length: 60000000\\r\\n"
+                        + "\\r\\nx|413",
+                "AGAIN|''"
+            },
+            delimiter = '|')
+    void unfinishedRequestsAreEndedInTime(String sent, String status) throws Exception {
+        StubEndpoint endpoint = endpoint(r -> {
+            pause(r.contains("/post-charge") ? 2_100 : 0);
+            return answer(200, "", "good");
+        });
+        serve();
+        TestClient usual = client();
+        usual.write(transaction("post-charge", "t", 3_000));
+        TestClient bad = client();
+        if (sent.equals("AGAIN")) {
+            assertTrue(bad.ask(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
+        } else {
+            bad.write(sent.replace("\\r", "\r").replace("\\n", "\n"));
+        }
+        long start = System.nanoTime();
+        String got = bad.read();
+        assertEquals(status, got.length() < 12 ? got : got.substring(9, 12));
+        if (!got.isEmpty()) {
+            assertEquals("", bad.read());
+        }
+        long took = (System.nanoTime() - start) / 1_000_000;
+        assertTrue(took < 2_800, "after " + took + " ms");
+        assertTrue(usual.read().startsWith("HTTP/1.1 200 "));
+        assertEquals(sent.equals("AGAIN") ? 2 : 1, endpoint.seen.size());
+    }
+}
