--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
@@ -4,362 +4,267 @@
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpClientAgent;
-import io.vertx.core.http.HttpClientConnection;
 import io.vertx.core.http.HttpClientOptions;
-import io.vertx.core.http.HttpClientResponse;
-import io.vertx.core.http.HttpConnectOptions;
-import io.vertx.core.http.HttpMethod;
-import io.vertx.core.http.RequestOptions;
-import io.vertx.core.json.JsonArray;
-import io.vertx.core.json.JsonObject;
 import io.vertx.core.net.SocketAddress;
-import java.net.ConnectException;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.Objects;
+import java.util.stream.Stream;
 import org.tinylog.Logger;
 import trestlegrade.metrics.Counters;
 import trestlegrade.policy.lease.EndpointListLease;
-import trestlegrade.policy.retry.DiscoveryBackoff;
 import trestlegrade.policy.settings.PolicySettings;
 import trestlegrade.runtime.EventLoopLag;
 import trestlegrade.runtime.MonotonicClock;
-import trestlegrade.runtime.PolicyExecutor;
 
-/** Watches discovery for changes of the list, one watch at a time; the desk says when to ask again. */
-public final class DiscoveryClient {
-    private final Vertx vertx;
+/**
+ * Watches discovery for changes of the endpoint list over HTTP, and renews the lease of the list. Belongs to the event
+ * loop.
+ *
+ * <p>One watch is open at a time. A silent one is suspected, and a replacement is opened beside it; the old one stays
+ * until the replacement is heard, since it may only be late. When the last watch ends, the listener of failures decides
+ * when {@link #watch} is called again; where the list is pushed, the watch is reopened here.
+ */
+public final class DiscoveryClient implements EndpointListSource {
+    private static final int TICKS_PER_MILLISECOND = 10;
+    private static final long SILENCE_CHECK_INTERVAL_MILLIS = 100;
+    /** An agent answers in a few milliseconds, and nothing is served meanwhile. */
+    private static final long AGENT_ANSWER_TIMEOUT_MILLIS = 2_000;
+
+    private final Surroundings surroundings;
     private final MonotonicClock clock;
     private final Counters counters;
-    private final EventLoopLag lateness;
-    private SocketAddress address;
-    private final HttpClientAgent client;
-    private final PolicyExecutor desk;
+    private final EndpointListListener listener;
+    private final Runnable onFailure;
     private final EndpointListLease lease;
-    private final long seed;
-    private boolean expired;
+    private final HttpClientAgent client;
+    private final WatchSchedule schedule;
+    private final DiscoveryWatch.Owner watchOwner = new WatchOwner();
+    private final Promise<Void> firstMessage = Promise.promise();
+    private SocketAddress address;
     private long version;
-    private Watch current;
-    /** Takes the place of one that has gone quiet, once it has brought something itself. */
-    private Watch spare;
+    private long confirmedAt;
+    private boolean leaseExpired;
+    private DiscoveryWatch current;
+    /** Takes the place of the current watch, which is suspected, once it has been heard itself. */
+    private DiscoveryWatch replacement;
 
-    private long spareNotBefore;
+    /** The event loop that a client runs on, its clock and its counters. */
+    public record Surroundings(Vertx vertx, MonotonicClock clock, Counters counters, EventLoopLag lag) {}
 
+    /**
+     * Creates a client that opens no watch yet.
+     *
+     * @param version of the list that is known already; only later changes are asked for
+     * @param listener takes over the entries received
+     * @param onFailure is run when the last watch has ended and {@link #watch} is to be called again after a backoff
+     * @param lease is renewed with each sign that the list is up to date
+     * @param seed of the jitter
+     */
     public DiscoveryClient(
-            Vertx vertx,
-            MonotonicClock clock,
-            Counters counters,
-            EventLoopLag lateness,
+            Surroundings surroundings,
             SocketAddress address,
             long version,
-            PolicyExecutor desk,
+            EndpointListListener listener,
+            Runnable onFailure,
             EndpointListLease lease,
             long seed) {
-        this.vertx = vertx;
-        this.clock = clock;
-        this.counters = counters;
-        this.lateness = lateness;
+        this.surroundings = surroundings;
+        clock = surroundings.clock();
+        counters = surroundings.counters();
         this.address = address;
         this.version = version;
-        this.desk = desk;
+        this.listener = listener;
+        this.onFailure = onFailure;
         this.lease = lease;
-        this.seed = seed;
-        heardAt = clock.now();
+        schedule = new WatchSchedule(clock, seed);
+        confirmedAt = clock.now();
+        Vertx vertx = surroundings.vertx();
         client = vertx.createHttpClient(new HttpClientOptions().setPipelining(false));
-        // After a stall what has come is read first.
-        vertx.setPeriodic(LOOK, t -> lateness.caughtUp(this::look));
+        // After a stall of the event loop, what has arrived meanwhile is read before a watch counts as silent.
+        vertx.setPeriodic(
+                SILENCE_CHECK_INTERVAL_MILLIS, timer -> surroundings.lag().caughtUp(this::check));
     }
 
-    /**
-     * A watch that has fallen silent brings nothing any more, and what it misses counts as told six seconds after its
-     * last word. All sidecars' may fall silent at once, and discovery answers a few calls a second: so one is opened
-     * beside it as soon as one empty line is missing. The old one stays until that has brought something, for it may
-     * only be late.
-     */
-    private void look() {
-        lookAtLease();
-        if (current == null) {
+    @Override
+    public void watch() {
+        if (current != null) {
             return;
         }
-        long now = clock.now();
-        long quiet = now - current.heard;
-        if (quiet > SILENT) {
-            current.end("silent", "nothing for " + quiet / 10 + " ms");
-        } else if (quiet > current.doubtfulAfter && spare == null && now >= spareNotBefore) {
-            counters.watches++;
-            spare = new Watch();
-            spare.begin();
+        DiscoveryWatch watch = newWatch();
+        current = watch;
+        long delayMillis = schedule.delayMillis();
+        if (delayMillis > 0) {
+            surroundings.vertx().setTimer(delayMillis, timer -> open(watch));
+        } else {
+            open(watch);
         }
     }
 
-    private void lookAtLease() {
-        if (expired == lease.valid(clock.now())) {
-            expired = !expired;
-            String code = expired ? "expired" : "renewed";
-            counters.leasesExpired += expired ? 1 : 0;
-            long held = version;
-            long age = age();
-            counters.log.add(() -> Logger.warn("list code={} version={} unconfirmed_ms={}", code, held, age));
+    @Override
+    public void adopt(PolicySettings settings) {
+        schedule.adopt(settings);
+    }
+
+    @Override
+    public void moveTo(SocketAddress newAddress) {
+        if (newAddress.equals(address)) {
+            return;
         }
+        DiscoveryWatch oldCurrent = current;
+        DiscoveryWatch oldReplacement = replacement;
+        // Cleared first: the end of a watch that is not in use opens no other.
+        current = null;
+        replacement = null;
+        Stream.of(oldCurrent, oldReplacement)
+                .filter(Objects::nonNull)
+                .forEach(watch -> watch.end(DiscoveryWatch.EndReason.MOVED, "SIGHUP"));
+        address = newAddress;
+        lease.discoveryMoved(clock.now());
+        schedule.moved();
+        watch();
     }
 
-    /** Milliseconds since discovery last spoke. */
-    public long age() {
-        return (clock.now() - heardAt) / 10;
+    /**
+     * {@inheritDoc}
+     *
+     * <p>Where the list is pushed, a new process counts as notified of all that its agent has from its first moment, so
+     * the agent's first message is waited for, 2 s at most; elsewhere the initial list may be relied on.
+     */
+    @Override
+    public Future<Void> firstListReceived() {
+        if (!schedule.pushed()) {
+            return Future.succeededFuture();
+        }
+        surroundings.vertx().setTimer(AGENT_ANSWER_TIMEOUT_MILLIS, timer -> firstMessage.tryComplete());
+        return firstMessage.future();
     }
 
-    /** What was read behind a stall may have been written before it. */
-    private void confirmed() {
-        heardAt = clock.now() - Math.max(0, lateness.unread());
-        lease.renew(heardAt);
+    @Override
+    public long version() {
+        return version;
     }
 
-    private long heardAt;
+    @Override
+    public long ageMillis() {
+        return (clock.now() - confirmedAt) / TICKS_PER_MILLISECOND;
+    }
 
-    private void replaceOther(Watch speaking) {
-        if (spare == speaking) {
-            Watch old = current;
-            current = speaking;
-            spare = null;
-            old.end("silent", "another watch speaks");
-        }
+    private DiscoveryWatch newWatch() {
+        counters.watches++;
+        return new DiscoveryWatch(clock, counters, address, schedule.replacementJitterTicks(), watchOwner);
     }
 
-    private static final long LOOK = 100;
-    // Two of the empty lines that come every 2 s are missing then.
-    private static final long SILENT = 45_000;
-    // One of them is; half a second is left to a line that is late, or to a call whose turn has not come after 2 s.
-    private static final long DOUBTFUL = 25_000;
-    private static final int CONNECT_WITHIN = 1_000;
+    private void open(DiscoveryWatch watch) {
+        watch.open(client, schedule.connectTimeoutMillis());
+    }
 
-    /** Asks for changes from the last version on, unless a watch is under way already. */
-    public void watch() {
+    /** Runs at short intervals: notices the end of the lease and a silent watch. */
+    private void check() {
+        logLeaseChange();
         if (current == null) {
-            counters.watches++;
-            Watch watch = new Watch();
-            current = watch;
-            long wait = (notBefore - clock.now()) / 10;
-            if (wait > 0) {
-                vertx.setTimer(wait, t -> watch.begin());
-            } else {
-                watch.begin();
-            }
+            return;
         }
-    }
-
-    /** Another place to ask, from now on. The list and its version stay: it is one service for all. */
-    public void moveTo(SocketAddress to) {
-        if (!to.equals(address)) {
-            List<Watch> old = new ArrayList<>();
-            old.add(current);
-            old.add(spare);
-            current = null;
-            spare = null;
-            old.stream().filter(Objects::nonNull).forEach(each -> each.end("moved", "SIGHUP"));
-            address = to;
-            lease.discoveryMoved(clock.now());
-            // New settings come to a whole fleet at once.
-            notBefore = clock.now() + backoff.beforeReplacement();
-            watch();
+        long now = clock.now();
+        switch (current.state(now)) {
+            case SILENT ->
+                current.end(DiscoveryWatch.EndReason.SILENT, "nothing for " + current.quietMillis(now) + " ms");
+            case SUSPECT -> replaceCurrent(now);
+            case LIVE -> {}
         }
     }
 
-    // The decisions back off from calls that fail. A watch that brings the list and ends at once, over and
-    // over, does not count as one for them, and was asked for ten times a second. It is well within the time in which
-    // the list has to be asked for.
-    private static final long APART = 10_000;
-    private long apart = APART;
-    private long notBefore;
-
-    // Where lists are pushed, what the agent beside this sidecar has counts as told whether a watch is open or not,
-    // and a call costs nobody else: a hundredth of a second first, and much less than any grace for drains at the last.
-    private static final long FIRST_PAUSE = 100;
-    private static final long LAST_PAUSE = 1_000;
-    private static final int AGENT_CONNECTS_WITHIN = 100;
-    private boolean pushed;
-    private DiscoveryBackoff backoff;
-    private long pause = FIRST_PAUSE;
-    private final Promise<Void> firstWord = Promise.promise();
-
-    /** Settings hold, from now on. */
-    public void adopt(PolicySettings terms) {
-        pushed = !terms.listOnRequest();
-        boolean first = backoff == null;
-        backoff = new DiscoveryBackoff(terms, seed);
-        if (first && !pushed) {
-            notBefore = clock.now() + backoff.beforeFirstCall();
+    private void replaceCurrent(long now) {
+        if (replacement == null && schedule.mayReplace(now)) {
+            replacement = newWatch();
+            open(replacement);
         }
-        apart = Math.min(APART, terms.askWithin() / 4);
     }
 
-    /**
-     * Done once the list may be relied on: where it is pushed a new process is held to what the agent has from its
-     * first moment, whatever list it was given. An agent that says nothing is waited for this long at the most.
-     */
-    public Future<Void> relied() {
-        if (!pushed) {
-            return Future.succeededFuture();
+    private void logLeaseChange() {
+        boolean expired = !lease.valid(clock.now());
+        if (expired == leaseExpired) {
+            return;
         }
-        vertx.setTimer(AGENT_ANSWERS_WITHIN, t -> firstWord.tryComplete());
-        return firstWord.future();
+        leaseExpired = expired;
+        counters.leasesExpired += expired ? 1 : 0;
+        String code = expired ? "expired" : "renewed";
+        long heldVersion = version;
+        long unconfirmedMillis = ageMillis();
+        counters.log.add(
+                () -> Logger.warn("list code={} version={} unconfirmed_ms={}", code, heldVersion, unconfirmedMillis));
     }
 
-    // Milliseconds; an agent answers in a few, and nobody is served meanwhile.
-    private static final long AGENT_ANSWERS_WITHIN = 2_000;
-
-    /** Nobody listens there: told from all that may fail on the way, or on this side. */
-    private static boolean isRefused(Throwable cause) {
-        return cause instanceof ConnectException
-                && String.valueOf(cause.getMessage()).startsWith("Connection refused");
-    }
-
-    public long version() {
-        return version;
-    }
+    private final class WatchOwner implements DiscoveryWatch.Owner {
 
-    private final class Watch {
-        private final long doubtfulAfter = DOUBTFUL + backoff.beforeReplacement();
-        private long opened = clock.now();
-        private long heard = opened;
-        private int heardLines;
-        private HttpClientConnection connection;
-        private boolean ended;
+        @Override
+        public long version() {
+            return version;
+        }
 
-        void begin() {
-            if (ended) {
-                return;
-            }
-            opened = clock.now();
-            heard = opened;
-            client.connect(new HttpConnectOptions()
-                            .setServer(address)
-                            .setHost(address.host())
-                            .setPort(address.port())
-                            .setConnectTimeout(pushed ? AGENT_CONNECTS_WITHIN : CONNECT_WITHIN))
-                    .onComplete(up -> {
-                        if (up.failed()) {
-                            end("connect-failed", up.cause());
-                            if (isRefused(up.cause())) {
-                                lease.discoveryUnreachable(opened);
-                            }
-                            return;
-                        }
-                        connection = up.result();
-                        connection.closeHandler(v -> end("closed", "connection ended"));
-                        if (ended) {
-                            connection.close();
-                            return;
-                        }
-                        ask();
-                    });
+        @Override
+        public void refused(long openedAt) {
+            lease.discoveryUnreachable(openedAt);
         }
 
-        private void ask() {
-            if (pushed) {
-                // An agent that has something says it at once; while it is cut off itself it is silent, and learns
-                // nothing.
+        @Override
+        public void connected() {
+            if (schedule.pushed()) {
+                // An agent sends what it has at once. While it is cut off itself it is silent, and learns nothing.
                 confirmed();
             }
-            RequestOptions head =
-                    new RequestOptions().setMethod(HttpMethod.GET).setURI("/catalog/members?stream=1&index=" + version);
-            connection.request(head).compose(request -> request.send()).onComplete(answer -> {
-                if (answer.failed()) {
-                    end("closed", answer.cause());
-                } else if (answer.result().statusCode() != 200) {
-                    end("refused", "status " + answer.result().statusCode());
-                } else {
-                    read(answer.result());
-                }
-            });
         }
 
-        private void read(HttpClientResponse response) {
-            heard = clock.now();
-            EndpointListParser reader = new EndpointListParser(this::told);
-            response.exceptionHandler(e -> end("closed", e));
-            response.endHandler(v -> end("closed", "answer ended"));
-            response.handler(bytes -> {
-                // Behind half an object an empty line is no word: it went on for good, and the object never came.
-                if (reader.betweenObjects() || !EndpointListParser.blank(bytes)) {
-                    heard = clock.now();
-                }
-                replaceOther(this);
-                try {
-                    if (!ended) {
-                        reader.read(bytes);
-                        if (!ended && reader.betweenObjects()) {
-                            confirmed();
-                        }
-                    }
-                } catch (RuntimeException e) {
-                    unusable(e.getMessage());
-                }
-            });
+        @Override
+        public void heard(DiscoveryWatch watch) {
+            if (replacement == watch) {
+                DiscoveryWatch suspected = current;
+                current = watch;
+                replacement = null;
+                suspected.end(DiscoveryWatch.EndReason.SILENT, "another watch speaks");
+            }
         }
 
-        /** The version moves with what was taken over alone: what was not is asked for again. */
-        private void told(JsonObject line) {
-            if (ended) {
-                return;
+        @Override
+        public void received(EndpointListMessage message) {
+            firstMessage.tryComplete();
+            schedule.messageReceived();
+            if (message.entries() != null) {
+                listener.updated(message.entries(), message.snapshot());
             }
-            heardLines++;
-            counters.listLines++;
-            firstWord.tryComplete();
-            pause = FIRST_PAUSE;
-            boolean indexed = line.getValue("index") instanceof Number;
-            boolean scoped = line.getValue("snapshot", false) instanceof Boolean;
-            if (line.getValue("endpoints") instanceof JsonArray entries) {
-                // One that does not say whether it is whole must not drop what it leaves out.
-                desk.listed(entries, scoped && line.getBoolean("snapshot", false));
-                if (indexed && scoped) {
-                    version = line.getLong("index");
-                    return;
-                }
+            // The version advances only with what was taken over: the rest is asked for again.
+            if (message.fault() == null) {
+                version = message.version();
             }
-            unusable(
-                    indexed
-                            ? scoped ? "endpoints: must be an array" : "snapshot: must be true or false"
-                            : "index: must be a number");
         }
 
-        private void unusable(String cause) {
-            counters.badLines++;
-            counters.log.add(() -> Logger.warn("list code=bad-line cause={}", cause));
-            end("malformed", cause);
+        @Override
+        public void confirmed() {
+            // What is read after a stall of the event loop may have been written before it.
+            confirmedAt = clock.now() - Math.max(0, surroundings.lag().unread());
+            lease.renew(confirmedAt);
         }
 
-        private void end(String code, Throwable cause) {
-            end(code, cause.getClass().getSimpleName() + " " + cause.getMessage());
+        @Override
+        public void ended(DiscoveryWatch watch) {
+            if (replacement == watch) {
+                replacement = null;
+                schedule.replacementEnded();
+            } else if (current == watch) {
+                current = replacement;
+                replacement = null;
+                if (current == null) {
+                    lastWatchEnded(watch);
+                }
+            }
         }
 
-        void end(String code, String cause) {
-            if (ended) {
-                return;
-            }
-            ended = true;
-            counters.ended("watch", code, address.toString(), heardLines, clock.now() - opened);
-            long held = version;
-            long quiet = (clock.now() - heard) / 10;
-            counters.log.add(
-                    () -> Logger.info("list code=watch-ended cause={} version={} quiet_ms={}", cause, held, quiet));
-            if (connection != null) {
-                connection.close();
-            }
-            if (spare == this) {
-                spare = null;
-                spareNotBefore = clock.now() + apart;
-            } else if (current == this) {
-                current = spare;
-                spare = null;
-                if (current == null && pushed) {
-                    lease.pushWatchEnded(clock.now());
-                    notBefore = clock.now() + pause;
-                    pause = Math.min(2 * pause, LAST_PAUSE);
-                    watch();
-                } else if (current == null) {
-                    notBefore = heardLines > 0 ? opened + apart : 0;
-                    desk.listFailed();
-                }
+        private void lastWatchEnded(DiscoveryWatch watch) {
+            if (schedule.pushed()) {
+                lease.pushWatchEnded(clock.now());
+                schedule.agentWatchEnded();
+                watch();
+            } else {
+                schedule.watchEnded(watch.openedAt(), watch.delivered());
+                onFailure.run();
             }
         }
     }
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointListParser.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointListParser.java
@@ -7,44 +7,51 @@
 import java.util.function.Consumer;
 
 /**
- * Reads what discovery writes: objects, each told as it ends, however they are laid out (on one line or over many) and
- * wherever the bytes are cut. What is none throws.
+ * Incremental parser of a watch's body: a sequence of JSON objects, each handed over with its last byte, however they
+ * are laid out (on one line or over many) and wherever the bytes are cut. One parser serves one watch.
  */
 final class EndpointListParser {
-    // A list of ten thousand endpoints, indented.
-    private static final int LONGEST = 4 << 20;
+    /** Longest object, in bytes: a list of ten thousand endpoints, indented. */
+    private static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private final JsonParser parser = JsonParser.newParser().objectValueMode();
-    private int unfinished;
+    private int unfinishedBytes;
 
-    EndpointListParser(Consumer<JsonObject> told) {
+    EndpointListParser(Consumer<JsonObject> handler) {
         parser.handler(event -> {
             if (event.type() != JsonEventType.VALUE || !event.isObject()) {
-                throw new IllegalArgumentException("an object must stand there, not " + event.type());
+                throw new MalformedEndpointListException("an object must stand there, not " + event.type());
             }
-            unfinished = 0;
-            told.accept(event.objectValue());
+            unfinishedBytes = 0;
+            handler.accept(event.objectValue());
         });
     }
 
-    /** Whether the latest bytes ended an object, or belonged to none. */
+    /** Returns whether the latest bytes ended an object, or belonged to none. */
     boolean betweenObjects() {
-        return unfinished == 0;
+        return unfinishedBytes == 0;
     }
 
-    public void read(Buffer bytes) {
+    /**
+     * Parses the next bytes.
+     *
+     * @throws MalformedEndpointListException if a value is no object, or an object is too long
+     * @throws io.vertx.core.json.DecodeException if they are not JSON
+     */
+    void read(Buffer bytes) {
         // The empty lines of an idle watch belong to no object and need no parser.
-        if (unfinished == 0 && blank(bytes)) {
+        if (unfinishedBytes == 0 && isBlank(bytes)) {
             return;
         }
-        unfinished += bytes.length();
-        if (unfinished > LONGEST) {
-            throw new IllegalArgumentException("an object of over " + LONGEST + " bytes");
+        unfinishedBytes += bytes.length();
+        if (unfinishedBytes > MAX_OBJECT_BYTES) {
+            throw new MalformedEndpointListException("an object of over " + MAX_OBJECT_BYTES + " bytes");
         }
         parser.handle(bytes);
     }
 
-    static boolean blank(Buffer bytes) {
+    /** Returns whether the bytes are white space alone. */
+    static boolean isBlank(Buffer bytes) {
         for (int i = 0; i < bytes.length(); i++) {
             if (bytes.getByte(i) > ' ') {
                 return false;
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -14,6 +14,7 @@
 import org.tinylog.Logger;
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.discovery.DiscoveryClient;
+import trestlegrade.discovery.EndpointListSource;
 import trestlegrade.discovery.EndpointRegistry;
 import trestlegrade.inbound.BoundedTransport;
 import trestlegrade.inbound.DescriptorBudget;
@@ -41,7 +42,7 @@
     private PolicyExecutor desk;
     private AttemptSender attempts;
     private InboundHttpServer front;
-    private DiscoveryClient discovery;
+    private EndpointListSource discovery;
 
     public Sidecar(SidecarConfig commission, Map<String, String> environment) {
         this.commission = commission;
@@ -165,13 +166,11 @@
         EndpointRegistry roster =
                 new EndpointRegistry(commission.zones(), commission.kinds(), attempts::outdated, counters);
         discovery = new DiscoveryClient(
-                vertx,
-                clock,
-                counters,
-                lateness,
+                new DiscoveryClient.Surroundings(vertx, clock, counters, lateness),
                 commission.discovery(),
                 commission.version(),
-                desk,
+                desk::listed,
+                desk::listFailed,
                 lease,
                 commission.seed() + 1);
         discovery.adopt(commission.terms());
@@ -180,7 +179,7 @@
         gauges(vertx);
         desk.start(roster, attempts, discovery::watch, commission.known());
         return discovery
-                .relied()
+                .firstListReceived()
                 .compose(v -> front.listen())
                 .onFailure(e -> log.add(() -> Logger.error(
                         "serve code=listen-failed listen={} cause={}", commission.listen(), e.getMessage())))
@@ -207,7 +206,7 @@
         counters.gauge("clients", front::connections);
         counters.gauge("pooled", attempts::connections);
         counters.gauge("list_version", discovery::version);
-        counters.gauge("list_unconfirmed_ms", discovery::age);
+        counters.gauge("list_unconfirmed_ms", discovery::ageMillis);
         HeapMonitor.start(vertx, counters);
     }
 
