--- a/sidecar/src/main/java/trestlegrade/inbound/BodyMemoryBudget.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BodyMemoryBudget.java
@@ -1,60 +1,64 @@
 package trestlegrade.inbound;
 
 /**
- * Bounds the memory that the bodies of one kind, of requests or of answers, take together. What would go over the bound
- * is refused by whoever asks, so that no load can fill the heap, at which the runtime ends the process.
+ * Bounds the memory that the bodies of one kind, of requests or of responses, take together. Without it load could fill
+ * the heap, at which the process ends. Not thread-safe: called on the event loop.
  */
 public final class BodyMemoryBudget {
-    private static final int LEAST = 64;
+    private static final int MIN_BUFFER_BYTES = 64;
 
-    private final long most;
-    private long held;
+    private final long limitBytes;
+    private long heldBytes;
 
-    public BodyMemoryBudget(long most) {
-        this.most = most;
+    /** A budget of so many bytes. */
+    public BodyMemoryBudget(long limitBytes) {
+        this.limitBytes = limitBytes;
     }
 
-    /** A part of the heap. */
-    public static BodyMemoryBudget ofHeap(double part) {
-        return new BodyMemoryBudget((long) (part * Runtime.getRuntime().maxMemory()));
+    /** A budget of this fraction of the heap's maximum. */
+    public static BodyMemoryBudget ofHeap(double fraction) {
+        return new BodyMemoryBudget((long) (fraction * Runtime.getRuntime().maxMemory()));
     }
 
+    /** The bytes of all claims together. */
     public long held() {
-        return held;
+        return heldBytes;
     }
 
+    /** A claim of one body, which holds nothing at first. */
     public Claim claim() {
         return new Claim();
     }
 
-    /** What one body holds, until it is released. */
+    /** The memory of one body, until it is released. */
     public final class Claim {
         private long bytes;
 
         private Claim() {}
 
-        /** Whether the body may grow to this length; a buffer that grows doubles. */
+        /** Grows the claim for a body of {@code length} bytes; false, and unchanged, if the budget has no room. */
         public boolean grow(int length) {
-            long wanted = capacity(length);
+            long wanted = bufferCapacity(length);
             if (wanted <= bytes) {
                 return true;
             }
-            if (held - bytes + wanted > most) {
+            if (heldBytes - bytes + wanted > limitBytes) {
                 return false;
             }
-            held += wanted - bytes;
+            heldBytes += wanted - bytes;
             bytes = wanted;
             return true;
         }
 
-        /** Once more does nothing. */
+        /** Gives all of it back. Further calls do nothing. */
         public void release() {
-            held -= bytes;
+            heldBytes -= bytes;
             bytes = 0;
         }
     }
 
-    private static long capacity(int length) {
-        return length <= LEAST ? LEAST : 2L * Integer.highestOneBit(length - 1);
+    /** A buffer that grows doubles its capacity. */
+    private static long bufferCapacity(int length) {
+        return length <= MIN_BUFFER_BYTES ? MIN_BUFFER_BYTES : 2L * Integer.highestOneBit(length - 1);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/inbound/DescriptorBudget.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/DescriptorBudget.java
@@ -2,75 +2,86 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** How many connections one side may hold, clients or attempts, of those that this process may. */
+/**
+ * Bounds how many file descriptors the connections of one side, clients or attempts, may use of those that this process
+ * may have. Out of descriptors, the process could neither accept nor connect. May be called on any thread.
+ */
 public final class DescriptorBudget {
-    // Its listener, discovery, jar, pipes and the loops' own come to 20; the rest is for what just closes.
-    private static final int OWN = 32;
-
-    private final int most;
-    private final AtomicInteger held = new AtomicInteger();
-    private volatile Runnable whenFree = () -> {};
-    private volatile Runnable whenAwaited = () -> {};
-
-    private DescriptorBudget(int most) {
-        this.most = most;
+    /** The listener, discovery, the jar, pipes and the event loops use 20; the others are for what just closes. */
+    private static final int RESERVED = 32;
+    /**
+     * The part of all descriptors that attempts may use. Applications hold a third for transactions at most; attempts
+     * need as many, and some for retries and for connections just closed.
+     */
+    private static final double ATTEMPTS_FRACTION = 0.45;
+    /** The listener's backlog is empty long before that. */
+    private static final long BACKLOG_DRAINS_NANOSECONDS = 1_000_000_000;
+
+    private final int limit;
+    private final AtomicInteger inUse = new AtomicInteger();
+    private volatile Runnable onAvailable = () -> {};
+    private volatile Runnable onExhausted = () -> {};
+    private volatile long lastWaitNanoTime = System.nanoTime() - BACKLOG_DRAINS_NANOSECONDS;
+
+    private DescriptorBudget(int limit) {
+        this.limit = limit;
     }
 
-    // Applications hold a third of all for transactions at the most. Attempts need as many and a few for further
-    // ones and for what has just been closed; the rest is for clients that bring nothing.
-    private static final double ATTEMPTS = 0.45;
-
+    /** The budget of connections to endpoints, of all {@code sockets} that the process may have. */
     public static DescriptorBudget forAttempts(int sockets) {
-        return new DescriptorBudget((int) ((sockets - OWN) * ATTEMPTS));
+        return new DescriptorBudget((int) ((sockets - RESERVED) * ATTEMPTS_FRACTION));
     }
 
+    /** The budget of connections of clients, of all {@code sockets} that the process may have. */
     public static DescriptorBudget forClients(int sockets) {
-        return new DescriptorBudget(sockets - OWN - forAttempts(sockets).most);
+        return new DescriptorBudget(sockets - RESERVED - forAttempts(sockets).limit);
     }
 
-    public void take() {
-        held.incrementAndGet();
+    /** A connection uses a descriptor from now on. The caller has asked {@link #isExhausted} before. */
+    public void acquire() {
+        inUse.incrementAndGet();
     }
 
-    public void giveBack() {
-        if (held.getAndDecrement() >= most) {
-            whenFree.run();
+    /** A connection has closed. */
+    public void release() {
+        if (inUse.getAndDecrement() >= limit) {
+            onAvailable.run();
         }
     }
 
-    public boolean full() {
-        return held.get() >= most;
+    /** Whether no further connection may be opened. */
+    public boolean isExhausted() {
+        return inUse.get() >= limit;
     }
 
-    /** Somebody waits since there is none for it. */
-    void awaited() {
-        awaitedAt = System.nanoTime();
-        whenAwaited.run();
+    /** How many connections are open. */
+    public int inUse() {
+        return inUse.get();
     }
 
-    /** What to do once somebody waits; on that one's thread. */
-    void whenAwaited(Runnable then) {
-        whenAwaited = then;
+    /** How many connections may be open. */
+    public int limit() {
+        return limit;
     }
 
-    /** Whether what begins now may have waited for one: the queue behind them is empty long before that. */
-    boolean awaitedLately() {
-        return System.nanoTime() - awaitedAt < QUEUE_EMPTIES;
+    /** A client has to wait for a descriptor. */
+    void clientWaits() {
+        lastWaitNanoTime = System.nanoTime();
+        onExhausted.run();
     }
 
-    private volatile long awaitedAt = System.nanoTime() - QUEUE_EMPTIES;
-    private static final long QUEUE_EMPTIES = 1_000_000_000;
-
-    public int held() {
-        return held.get();
+    /** Whether a connection accepted now may have waited for a descriptor. */
+    boolean clientWaitedLately() {
+        return System.nanoTime() - lastWaitNanoTime < BACKLOG_DRAINS_NANOSECONDS;
     }
 
-    public int most() {
-        return most;
+    /** Sets what to do once a client has to wait; called on the thread of the listener. */
+    void onExhausted(Runnable action) {
+        onExhausted = action;
     }
 
-    /** What to do once it is no longer full; from any thread. */
-    void whenFree(Runnable then) {
-        whenFree = then;
+    /** Sets what to do once the budget is no longer exhausted; called on the thread that released a descriptor. */
+    void onAvailable(Runnable action) {
+        onAvailable = action;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
@@ -9,114 +9,99 @@
 import trestlegrade.outbound.OutboundAttempt;
 import trestlegrade.runtime.PolicyExecutor;
 
-/** One transaction with its client: what goes on unchanged, what the decisions need, and its one answer. */
+/**
+ * One transaction of a client: the request, its attempts, and its single final response. Used on the event loop alone.
+ */
 public final class InboundRequest {
 
-    /** The way back to a client, in the words of the protocol that it speaks. */
+    /** Gives a client the final response of a transaction; exactly one of the last three is called, once at most. */
     public interface Client {
-        /** Whether it has left, so that no answer can reach it. */
-        boolean gone();
+        /** Whether the client has disconnected, so that no response can reach it. */
+        boolean isDisconnected();
 
-        /** Done once the body is written, or can no longer be. */
+        /** The transaction took effect. Complete once the body is written, or can no longer be. */
         Future<Void> committed(MultiMap head, Buffer body);
 
-        /** No effect: trying again is harmless, after the pause (tenths of a millisecond) if not 0. */
-        void rolledBack(long pause);
+        /** The transaction had no effect, and may be retried after this wait in ticks; 0 states no wait. */
+        void rolledBack(long retryAfterTicks);
 
+        /** Whether the transaction took effect is unknown. */
         void abandoned();
     }
 
-    public final String method;
-    final String uri;
-    public final MultiMap head;
+    private static final int USUAL_ATTEMPTS = 3;
+
+    public final RequestHead head;
     public final Buffer body;
-    public final int profile;
-    public final boolean repeatable;
-    public final int customer;
-    public final long key;
-    public final long end;
-    public final long cost;
-    public final List<OutboundAttempt> attempts = new ArrayList<>(3);
-    /** Attempts whose end has not been told yet. */
+    public final RequestMetadata metadata;
+    public final List<OutboundAttempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+    /** Attempts whose end has not been reported yet. */
     public int out;
-    /** Given at the desk; 0 before. */
+    /** Assigned by the policy executor; 0 before. */
     public long id;
-    /** Under which it was taken; it ends under the same. */
+    /** The settings under which it was accepted, and under which it ends; null before. */
     public PolicyExecutor.Tenure tenure;
 
     private final Client client;
-    private BodyMemoryBudget.Claim claim;
+    private BodyMemoryBudget.Claim bodyMemory;
     private boolean over;
 
-    public InboundRequest(
-            String method,
-            String uri,
-            MultiMap head,
-            Buffer body,
-            int profile,
-            boolean repeatable,
-            int customer,
-            long key,
-            long end,
-            long cost,
-            Client client) {
-        this.method = method;
-        this.uri = uri;
+    /** A request that has been read completely, and has had no attempt yet. */
+    public InboundRequest(RequestHead head, Buffer body, RequestMetadata metadata, Client client) {
         this.head = head;
         this.body = body;
-        this.profile = profile;
-        this.repeatable = repeatable;
-        this.customer = customer;
-        this.key = key;
-        this.end = end;
-        this.cost = cost;
+        this.metadata = metadata;
         this.client = client;
     }
 
-    /** Whether the final answer has been given, or nobody waits for it any more. */
+    /** Whether the final response has been given, or nobody waits for it any more. */
     public boolean over() {
         return over;
     }
 
-    /** Whether anything may be written for it: its final answer is open, and somebody waits for it. */
+    /** Whether an attempt may be made: the final response is open, and its client waits for it. */
     public boolean wanted() {
-        return !over && !client.gone();
+        return !over && !client.isDisconnected();
     }
 
-    /** Done once the answer takes no more memory here. */
-    public Future<Void> commit(MultiMap answerHead, Buffer answer, Counters counters) {
-        if (!ends(counters)) {
-            return Future.succeededFuture();
-        }
-        counters.committed++;
-        return client.committed(answerHead, answer);
+    /** Hands over the memory of its body, which it holds until {@link #release}. */
+    void ownBodyMemory(BodyMemoryBudget.Claim memory) {
+        bodyMemory = memory;
     }
 
-    /** Its body's memory, which it holds until it is over and no attempt is out. */
-    public void holds(BodyMemoryBudget.Claim memory) {
-        claim = memory;
+    /** Frees the memory of its body. It is over, and has no attempt in flight. */
+    public void release() {
+        if (bodyMemory != null) {
+            bodyMemory.release();
+        }
     }
 
-    public void release() {
-        if (claim != null) {
-            claim.release();
+    /** Responds with an endpoint's response. Complete once that takes no more memory here. */
+    public Future<Void> commit(MultiMap headers, Buffer response, Counters counters) {
+        if (!finish(counters)) {
+            return Future.succeededFuture();
         }
+        counters.committed++;
+        return client.committed(headers, response);
     }
 
-    public void rollBack(long pause, Counters counters) {
-        if (ends(counters)) {
+    /** Responds that it had no effect, and may be retried after this wait in ticks; 0 states no wait. */
+    public void rollBack(long retryAfterTicks, Counters counters) {
+        if (finish(counters)) {
             counters.rolledBack++;
-            client.rolledBack(pause);
+            client.rolledBack(retryAfterTicks);
         }
     }
 
+    /** Responds that its effect is unknown. */
     public void abandon(Counters counters) {
-        if (ends(counters)) {
+        if (finish(counters)) {
             counters.abandoned++;
             client.abandoned();
         }
     }
 
+    /** Its client has disconnected: it is over without a response. Further calls do nothing. */
     public void clientLeft(Counters counters) {
         if (!over) {
             over = true;
@@ -124,9 +109,9 @@
         }
     }
 
-    /** Whether the answer to be given is the final one. */
-    private boolean ends(Counters counters) {
-        if (client.gone()) {
+    /** Whether the response about to be given is the final one, and can reach the client. */
+    private boolean finish(Counters counters) {
+        if (client.isDisconnected()) {
             clientLeft(counters);
         }
         boolean first = !over;
--- a/sidecar/src/main/java/trestlegrade/inbound/InterruptibleSocketChannel.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InterruptibleSocketChannel.java
@@ -6,29 +6,29 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A TCP connection whose reads may be interrupted (EINTR). The runtime tells an interrupted read of a socket that does
- * not block by a number below that of the stream's end, and the library takes each negative number for the end: the
- * connection was closed, and what its peer had sent was lost.
+ * A TCP connection whose reads may be interrupted (EINTR). The JDK reports an interrupted read of a non-blocking socket
+ * as a number below that of the end of the stream, and Netty takes each negative number for the end: it would close the
+ * connection, and what the peer had sent would be lost. Here such a read counts as empty, and the loop reads again.
  */
 final class InterruptibleSocketChannel extends NioSocketChannel {
     private static final int END_OF_STREAM = -1;
 
-    private final long queuedNanoseconds;
+    private final long backlogNanoseconds;
 
-    /** One that will be connected. */
+    /** A connection to an endpoint. */
     InterruptibleSocketChannel() {
-        queuedNanoseconds = 0;
+        backlogNanoseconds = 0;
     }
 
-    /** One that was accepted; its client may have waited for that for so long. */
-    InterruptibleSocketChannel(Channel listener, SocketChannel socket, long queuedNanoseconds) {
+    /** A connection that was accepted; its client waited no longer than that in the listener's backlog. */
+    InterruptibleSocketChannel(Channel listener, SocketChannel socket, long backlogNanoseconds) {
         super(listener, socket);
-        this.queuedNanoseconds = queuedNanoseconds;
+        this.backlogNanoseconds = backlogNanoseconds;
     }
 
-    /** How long its client may have waited in the listener's queue, at the most. */
-    long queuedNanoseconds() {
-        return queuedNanoseconds;
+    /** How long its client may have waited in the listener's backlog, at most. */
+    long backlogNanoseconds() {
+        return backlogNanoseconds;
     }
 
     @Override
--- a/sidecar/src/main/java/trestlegrade/inbound/LingeringClose.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/LingeringClose.java
@@ -12,97 +12,101 @@
 import trestlegrade.runtime.MonotonicClock;
 
 /**
- * A client's connection that is closed behind an answer, by this program or by the library, ends on this side only at
- * first. What the client had still sent is read and dropped until it closes its side, or nothing comes any more: to
- * close over bytes that are unread resets the connection, and takes along what the client has not read of the answer.
+ * Closes a connection behind a response without a reset. To close a socket with unread bytes resets it, and the client
+ * loses what it has not read of the response. So a close, of this program or of the library, ends only this side at
+ * first; what the client still sends is read and dropped until it closes its side, or nothing more comes.
  */
 final class LingeringClose extends ChannelDuplexHandler {
-    // Tenths of a millisecond. What a client had on its way comes within a few milliseconds. Clients that keep a
-    // connection
-    // that has ended hold its descriptor for so long.
-    private static final long QUIET = 1_000;
-    private static final long LONGEST = 10_000;
-    // One that was answered in the midst of its message goes on, perhaps slowly: with 0.1 s from five to eleven of them
-    // were cut off on a day on which clients write in pieces.
-    private static final long QUIET_PARTIAL = 10_000;
-    private static final long LONGEST_PARTIAL = 30_000;
+    private static final long TICKS_PER_MILLISECOND = 10;
+    /** What a client had under way comes within a few milliseconds; the descriptor is held for so long. */
+    private static final long QUIET_TICKS = 1_000;
+
+    private static final long MAX_LINGER_TICKS = 10_000;
+    /** A client that was answered in the midst of its request goes on sending it, perhaps slowly. */
+    private static final long PARTIAL_QUIET_TICKS = 10_000;
+
+    private static final long PARTIAL_MAX_LINGER_TICKS = 30_000;
 
     private final StrictRequestDecoder decoder;
     private final MonotonicClock clock;
-    private final EventLoopLag lateness;
-    private boolean answering;
-    private long answered = Long.MIN_VALUE / 2;
-    private boolean lingers;
+    private final EventLoopLag lag;
+    private boolean finalResponse;
+    private long responseWrittenAt = Long.MIN_VALUE / 2;
+    private boolean lingering;
     private ChannelHandlerContext context;
 
-    LingeringClose(StrictRequestDecoder decoder, MonotonicClock clock, EventLoopLag lateness) {
+    LingeringClose(StrictRequestDecoder decoder, MonotonicClock clock, EventLoopLag lag) {
         this.decoder = decoder;
         this.clock = clock;
-        this.lateness = lateness;
+        this.lag = lag;
     }
 
-    /** Whether this side has ended it behind an answer that is written. */
-    boolean lingers() {
-        return lingers;
+    /** Whether this side has ended the connection behind a response that is written. */
+    boolean isLingering() {
+        return lingering;
     }
 
-    /** Its descriptor is wanted for another client, or it does not read: what is still to come or to go is given up. */
+    /** Closes the connection at once; what is still to be read or written is lost. */
     void closeNow() {
         context.close();
     }
 
     @Override
-    public void handlerAdded(ChannelHandlerContext context) {
-        this.context = context;
+    public void handlerAdded(ChannelHandlerContext added) {
+        context = added;
     }
 
     @Override
     public void write(ChannelHandlerContext context, Object part, ChannelPromise promise) throws Exception {
         if (part instanceof HttpResponse head) {
-            answering = head.status().codeClass() != HttpStatusClass.INFORMATIONAL;
+            finalResponse = head.status().codeClass() != HttpStatusClass.INFORMATIONAL;
         }
-        ChannelPromise told = promise;
-        if (answering && part instanceof LastHttpContent) {
-            told = promise.unvoid();
-            told.addListener(done -> answered = clock.now());
+        ChannelPromise written = promise;
+        if (finalResponse && part instanceof LastHttpContent) {
+            written = promise.unvoid();
+            written.addListener(done -> responseWrittenAt = clock.now());
         }
-        super.write(context, part, told);
+        super.write(context, part, written);
     }
 
-    /** A connection that stands idle is closed at once. The library and this program may both close one. */
+    /** An idle connection is closed at once. The library and this program may both close the same one. */
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) throws Exception {
-        if (lingers) {
+        if (lingering) {
             context.channel().closeFuture().addListener(closed -> promise.trySuccess());
-            return;
-        }
-        boolean behindAnswer = clock.now() - answered < QUIET || (decoder.partial() && answered >= decoder.begun());
-        if (!behindAnswer || !context.channel().isActive()) {
+        } else if (isBehindResponse() && context.channel().isActive()) {
+            linger(context, promise);
+        } else {
             super.close(context, promise);
-            return;
         }
-        lingers = true;
-        decoder.deaf = true;
+    }
+
+    private boolean isBehindResponse() {
+        return clock.now() - responseWrittenAt < QUIET_TICKS
+                || (decoder.isPartial() && responseWrittenAt >= decoder.messageBegunAt());
+    }
+
+    private void linger(ChannelHandlerContext context, ChannelPromise promise) {
+        lingering = true;
+        decoder.discardInput();
         // The library may have stopped reading.
         context.channel().config().setAutoRead(true);
         ((DuplexChannel) context.channel()).shutdownOutput();
-        boolean partial = decoder.partial();
-        closeOnceQuiet(
-                context, promise, partial ? QUIET_PARTIAL : QUIET, clock.now() + (partial ? LONGEST_PARTIAL : LONGEST));
+        boolean partial = decoder.isPartial();
+        long quietTicks = partial ? PARTIAL_QUIET_TICKS : QUIET_TICKS;
+        long deadline = clock.now() + (partial ? PARTIAL_MAX_LINGER_TICKS : MAX_LINGER_TICKS);
+        closeOnceQuiet(context, promise, quietTicks, deadline);
     }
 
-    private void closeOnceQuiet(ChannelHandlerContext context, ChannelPromise promise, long quiet, long latest) {
+    private void closeOnceQuiet(ChannelHandlerContext context, ChannelPromise promise, long quietTicks, long deadline) {
         // Behind a stall what has come is read first.
-        context.executor()
-                .schedule(
-                        () -> lateness.caughtUp(() -> {
-                            if (clock.now() < latest && clock.now() - decoder.heard() < quiet) {
-                                closeOnceQuiet(context, promise, quiet, latest);
-                            } else {
-                                context.close(promise);
-                            }
-                        }),
-                        quiet / 10,
-                        TimeUnit.MILLISECONDS);
+        Runnable check = () -> lag.caughtUp(() -> {
+            if (clock.now() < deadline && clock.now() - decoder.lastReadAt() < quietTicks) {
+                closeOnceQuiet(context, promise, quietTicks, deadline);
+            } else {
+                context.close(promise);
+            }
+        });
+        context.executor().schedule(check, quietTicks / TICKS_PER_MILLISECOND, TimeUnit.MILLISECONDS);
     }
 }
--- /dev/null
+++ b/sidecar/src/main/java/trestlegrade/inbound/ListenerBinder.java
@@ -0,0 +1,58 @@
+package trestlegrade.inbound;
+
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import io.vertx.core.http.HttpServer;
+import io.vertx.core.net.SocketAddress;
+import java.net.BindException;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
+import org.tinylog.Logger;
+import trestlegrade.metrics.AsyncLog;
+import trestlegrade.runtime.MonotonicClock;
+
+/**
+ * Binds the listener. Where the system has no socket for it (EMFILE, ENFILE, ENOBUFS, ENOMEM), which passes, it retries
+ * for a while; that the address is in use is reported at once.
+ */
+final class ListenerBinder {
+    /** Well under the time that a start may take. */
+    private static final long RETRY_WINDOW_TICKS = 100_000;
+
+    private static final long RETRY_INTERVAL_MILLIS = 50;
+
+    private final Vertx vertx;
+    private final MonotonicClock clock;
+    private final AsyncLog log;
+    private final Supplier<SocketAddress> address;
+    private final Supplier<HttpServer> newServer;
+
+    /** {@code newServer} gives a fresh server for each try: one that failed to bind is of no more use. */
+    ListenerBinder(
+            Vertx vertx,
+            MonotonicClock clock,
+            AsyncLog log,
+            Supplier<SocketAddress> address,
+            Supplier<HttpServer> newServer) {
+        this.vertx = vertx;
+        this.clock = clock;
+        this.log = log;
+        this.address = address;
+        this.newServer = newServer;
+    }
+
+    /** The server once it listens; fails with the cause of the last try. */
+    Future<HttpServer> bind() {
+        return bind(clock.now() + RETRY_WINDOW_TICKS);
+    }
+
+    private Future<HttpServer> bind(long deadline) {
+        return newServer.get().listen().recover(cause -> {
+            if (cause instanceof BindException || clock.now() >= deadline) {
+                return Future.failedFuture(cause);
+            }
+            log.add(() -> Logger.warn("serve code=listen-again listen={} cause={}", address.get(), cause.getMessage()));
+            return vertx.timer(RETRY_INTERVAL_MILLIS, TimeUnit.MILLISECONDS).compose(due -> bind(deadline));
+        });
+    }
+}
--- a/sidecar/src/main/java/trestlegrade/inbound/PipeliningGate.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/PipeliningGate.java
@@ -15,79 +15,96 @@
 import trestlegrade.runtime.MonotonicClock;
 
 /**
- * The pipelining gate: lets one message at a time through to the front, the next with the answer to the one before.
- * What a client has sent ahead waits here, and the connection is read on: the library stopped reading it, so that a
- * client's end behind what it had sent was not seen, and all of it was run for nobody. With the connection's end what
- * waits is dropped.
+ * Lets one request at a time through to the server, the next one behind the response to the one before. What a client
+ * pipelines waits here while the connection is read on. The library would stop reading it: the end of a client behind
+ * its requests would not be seen, and all of them would be run for nobody. At the connection's end what waits is
+ * dropped.
  */
 final class PipeliningGate extends ChannelDuplexHandler {
 
-    /** What all connections hold together. */
-    public static final class Held {
+    /** The bytes that wait on all connections together. */
+    static final class TotalBytes {
         private long bytes;
     }
 
-    // A client that keeps to the protocol has one message open. As much as a long body and a hundred short messages
-    // is held for one that does not, and a twentieth of the heap for all.
-    private static final long MOST = 256 << 10;
-    private static final long MOST_OF_ALL = 4 << 20;
-    // What a head takes beside its text, at the most.
-    private static final long HEAD = 1 << 10;
+    /** A client that keeps to the protocol has one request open: room for a long body and a hundred short requests. */
+    private static final long MAX_BYTES = 256 << 10;
+    /** A twentieth of the heap. */
+    private static final long MAX_TOTAL_BYTES = 4 << 20;
+    /** What the head of a request takes beside its text, at most. */
+    private static final long HEAD_OVERHEAD_BYTES = 1 << 10;
 
     private final StrictRequestDecoder decoder;
-    private final Held all;
-    private final Runnable tooFar;
     private final MonotonicClock clock;
-    private final Deque<Object> held = new ArrayDeque<>();
-    /** When the last byte of each whole message that is held came. */
-    private final Deque<Long> heldSince = new ArrayDeque<>();
+    private final TotalBytes total;
+    private final Runnable onOverflow;
+    private final Deque<Object> waiting = new ArrayDeque<>();
+    /** When the last byte came of each complete request that waits, in ticks of the clock. */
+    private final Deque<Long> waitingReceivedAt = new ArrayDeque<>();
 
-    private long cameAt;
+    private long receivedAt;
     private long bytes;
-    private boolean open;
+    private boolean requestOpen;
 
-    /** {@code tooFar} is told before the last message is let through that will be on this connection. */
-    PipeliningGate(StrictRequestDecoder decoder, MonotonicClock clock, Held all, Runnable tooFar) {
+    /**
+     * {@code onOverflow} is called once more is pipelined than may wait, before the last request that came whole is let
+     * through: the connection has to end with the response to that.
+     */
+    PipeliningGate(StrictRequestDecoder decoder, MonotonicClock clock, TotalBytes total, Runnable onOverflow) {
         this.decoder = decoder;
         this.clock = clock;
-        this.all = all;
-        this.tooFar = tooFar;
+        this.total = total;
+        this.onOverflow = onOverflow;
+    }
+
+    /** Whether requests wait for the response to the one that was let through. */
+    boolean hasPipelined() {
+        return !waiting.isEmpty();
+    }
+
+    /** When the last byte came of the request that was let through, which may have waited here since. */
+    long receivedAt() {
+        return receivedAt;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object part) {
-        if (held.isEmpty() && !(part instanceof HttpRequest && open)) {
-            cameAt = clock.now();
+        if (waiting.isEmpty() && !(part instanceof HttpRequest && requestOpen)) {
+            receivedAt = clock.now();
             pass(context, part);
-        } else if (decoder.deaf) {
+        } else if (decoder.discardsInput()) {
             ReferenceCountUtil.release(part);
         } else {
-            held.add(part);
-            if (part instanceof LastHttpContent) {
-                heldSince.add(clock.now());
-            }
-            count(size(part));
-            if (bytes > MOST || all.bytes > MOST_OF_ALL) {
-                deafen();
-            }
+            enqueue(part);
+        }
+    }
+
+    private void enqueue(Object part) {
+        waiting.add(part);
+        if (part instanceof LastHttpContent) {
+            waitingReceivedAt.add(clock.now());
+        }
+        count(size(part));
+        if (bytes > MAX_BYTES || total.bytes > MAX_TOTAL_BYTES) {
+            overflow();
         }
     }
 
     /**
-     * To leave the rest in the kernel would hide the client's end. What is dropped was never begun, and the connection
-     * ends with the answer to the last message that came whole.
+     * Drops the request that is not complete, which was never begun, and all that still comes. To leave that unread in
+     * the kernel would hide the client's end.
      */
-    private void deafen() {
-        decoder.deaf = true;
-        boolean cut = !(held.peekLast() instanceof LastHttpContent);
-        while (cut) {
-            Object part = held.pollLast();
-            cut = !(part instanceof HttpRequest);
+    private void overflow() {
+        decoder.discardInput();
+        boolean partial = !(waiting.peekLast() instanceof LastHttpContent);
+        while (partial) {
+            Object part = waiting.pollLast();
+            partial = !(part instanceof HttpRequest);
             count(-size(part));
             ReferenceCountUtil.release(part);
         }
-        if (held.isEmpty()) {
-            tooFar.run();
+        if (waiting.isEmpty()) {
+            onOverflow.run();
         }
     }
 
@@ -97,33 +114,26 @@
                 part instanceof HttpResponse head && head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
         super.write(context, part, promise);
         if (part instanceof LastHttpContent && !interim) {
-            open = false;
-            if (!held.isEmpty()) {
-                // Not from inside of the answer's own call.
-                context.executor().execute(() -> next(context));
+            requestOpen = false;
+            if (!waiting.isEmpty()) {
+                // Not from inside the call that wrote the response.
+                context.executor().execute(() -> passNext(context));
             }
         }
     }
 
-    public boolean waits() {
-        return !held.isEmpty();
-    }
-
-    /** When the last byte of the message that was let through came; it may have waited here since. */
-    long cameAt() {
-        return cameAt;
-    }
-
-    /** The first of those held, with all that has come of it. */
-    private void next(ChannelHandlerContext context) {
-        while (!held.isEmpty() && !(held.peekFirst() instanceof HttpRequest && open)) {
-            Object part = held.pollFirst();
+    /** Lets the first request that waits through, with all that has come of it. */
+    private void passNext(ChannelHandlerContext context) {
+        while (!waiting.isEmpty() && !(waiting.peekFirst() instanceof HttpRequest && requestOpen)) {
+            Object part = waiting.pollFirst();
             count(-size(part));
             if (part instanceof LastHttpContent) {
-                cameAt = heldSince.pollFirst();
+                receivedAt = waitingReceivedAt.pollFirst();
             }
-            if (decoder.deaf && part instanceof HttpRequest && held.stream().noneMatch(HttpRequest.class::isInstance)) {
-                tooFar.run();
+            if (decoder.discardsInput()
+                    && part instanceof HttpRequest
+                    && waiting.stream().noneMatch(HttpRequest.class::isInstance)) {
+                onOverflow.run();
             }
             pass(context, part);
         }
@@ -131,19 +141,19 @@
     }
 
     private void pass(ChannelHandlerContext context, Object part) {
-        open |= part instanceof HttpRequest;
+        requestOpen |= part instanceof HttpRequest;
         context.fireChannelRead(part);
     }
 
     private void count(long more) {
         bytes += more;
-        all.bytes += more;
+        total.bytes += more;
     }
 
     private static long size(Object part) {
         long size = 0;
         if (part instanceof HttpRequest head) {
-            size = HEAD + head.uri().length();
+            size = HEAD_OVERHEAD_BYTES + head.uri().length();
             for (Map.Entry<String, String> field : head.headers()) {
                 size += field.getKey().length() + field.getValue().length();
             }
@@ -153,19 +163,19 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) throws Exception {
-        drop();
+        dropWaiting();
         super.channelInactive(context);
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext context) {
-        drop();
+        dropWaiting();
     }
 
-    private void drop() {
+    private void dropWaiting() {
         count(-bytes);
-        held.forEach(ReferenceCountUtil::release);
-        held.clear();
-        heldSince.clear();
+        waiting.forEach(ReferenceCountUtil::release);
+        waiting.clear();
+        waitingReceivedAt.clear();
     }
 }
--- /dev/null
+++ b/sidecar/src/main/java/trestlegrade/inbound/RequestReader.java
@@ -0,0 +1,97 @@
+package trestlegrade.inbound;
+
+import io.netty.handler.codec.PrematureChannelClosureException;
+import io.netty.handler.codec.http.TooLongHttpHeaderException;
+import io.netty.handler.codec.http.TooLongHttpLineException;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpClosedException;
+import io.vertx.core.http.HttpServerRequest;
+import java.io.IOException;
+import trestlegrade.runtime.MonotonicClock;
+
+/** Reads the body of a request within the bounds of its length and of memory, and rejects what is not readable. */
+final class RequestReader {
+
+    /** Takes a request with its last byte. */
+    interface Handler {
+        void onRequest(HttpServerRequest request, ClientConnection connection, Buffer body);
+    }
+
+    private final MonotonicClock clock;
+    private final BodyMemoryBudget memory;
+    private final ResponseWriter writer;
+    private final Handler handler;
+
+    RequestReader(MonotonicClock clock, BodyMemoryBudget memory, ResponseWriter writer, Handler handler) {
+        this.clock = clock;
+        this.memory = memory;
+        this.writer = writer;
+        this.handler = handler;
+    }
+
+    /** Reads a request whose head has come, and hands it to the handler or rejects it. */
+    void read(HttpServerRequest request, ClientConnection connection) {
+        BodyMemoryBudget.Claim claim = memory.claim();
+        connection.requestBegun(request.response(), claim, clock.now());
+        Buffer body = Buffer.buffer();
+        request.handler(part -> append(request, connection, claim, body, part));
+        request.exceptionHandler(cause -> connection.endWithIfUndecided(readFailure(cause)));
+        request.endHandler(v -> {
+            if (connection.isReading()) {
+                handler.onRequest(request, connection, body);
+            } else {
+                // Rejected before its last byte, which has come now.
+                connection.close(connection.endReason());
+            }
+        });
+        if (request.headers().contains("Transfer-Encoding") && request.headers().contains("Content-Length")) {
+            writer.reject(connection, request.response(), Rejection.MALFORMED_REQUEST);
+        } else if (HeaderRules.contentLength(request.getHeader("Content-Length")) > InboundHttpServer.MAX_BODY_BYTES) {
+            writer.rejectUnread(connection, request.response(), Rejection.BODY_TOO_LARGE);
+        }
+    }
+
+    private void append(
+            HttpServerRequest request,
+            ClientConnection connection,
+            BodyMemoryBudget.Claim claim,
+            Buffer body,
+            Buffer part) {
+        if (!connection.isReading()) {
+            return;
+        }
+        int length = body.length() + part.length();
+        if (length > InboundHttpServer.MAX_BODY_BYTES) {
+            writer.rejectUnread(connection, request.response(), Rejection.BODY_TOO_LARGE);
+        } else if (!claim.grow(length)) {
+            writer.rejectUnread(connection, request.response(), Rejection.NO_BODY_MEMORY);
+        } else {
+            body.appendBuffer(part);
+        }
+    }
+
+    /** Vert.x has ended the connection: the client disconnected, or what it sent is no body. */
+    private static ConnectionEndReason readFailure(Throwable cause) {
+        return cause instanceof HttpClosedException || cause instanceof IOException
+                ? ConnectionEndReason.CLIENT_DISCONNECTED
+                : ConnectionEndReason.MALFORMED_REQUEST;
+    }
+
+    /** Rejects a request whose head cannot be read. */
+    void rejectMalformedHead(HttpServerRequest request, ClientConnection connection) {
+        Throwable cause = request.decoderResult().cause();
+        if (cause instanceof PrematureChannelClosureException) {
+            // The client disconnected in the midst of the head: it is no malformed one, and gets no response.
+            connection.endWithIfUndecided(ConnectionEndReason.CLIENT_DISCONNECTED);
+            return;
+        }
+        writer.reject(connection, request.response(), headRejection(cause));
+    }
+
+    private static Rejection headRejection(Throwable cause) {
+        if (cause instanceof TooLongHttpLineException) {
+            return Rejection.REQUEST_LINE_TOO_LONG;
+        }
+        return cause instanceof TooLongHttpHeaderException ? Rejection.HEADERS_TOO_LARGE : Rejection.MALFORMED_REQUEST;
+    }
+}
--- a/sidecar/src/main/java/trestlegrade/inbound/StrictRequestDecoder.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/StrictRequestDecoder.java
@@ -15,66 +15,73 @@
 import trestlegrade.runtime.MonotonicClock;
 
 /**
- * Vert.x's reader of transactions, but one that gives two lengths is none. Netty drops the Content-Length and follows
- * the chunks; who reads it the other way finds a second transaction in the body of the first.
+ * Vert.x's decoder of requests, which also rejects a request with both a Content-Length and a Transfer-Encoding, and
+ * records when bytes came. Netty would drop the Content-Length and follow the chunks: whoever reads such a message the
+ * other way finds a second request in the body of the first (request smuggling). Times are ticks of
+ * {@link MonotonicClock}.
  */
 final class StrictRequestDecoder extends VertxHttpRequestDecoder {
-    /** What still comes is read, so that the connection's end is seen, and dropped. */
-    boolean deaf;
+    private static final long NANOSECONDS_PER_TICK = 100_000;
+    /** From the accept to the first read of a request that was sent with the connect, on a loop that is on time. */
+    private static final long FIRST_READ_TICKS = 500;
 
     private final MonotonicClock clock;
+    private final long acceptedAt;
+    private final long backlogTicks;
     private PipeliningGate gate;
-    LingeringClose linger;
-    /** When the first and the latest bytes of a message came that is not whole yet. */
-    private long begun;
-
-    private long heard;
+    private LingeringClose lingeringClose;
+    private boolean discardsInput;
     private boolean partial;
-    private final long opened;
-    private final long queued;
+    private long messageBegunAt;
+    private long lastReadAt;
 
-    private StrictRequestDecoder(HttpServerOptions options, MonotonicClock clock, long queued) {
+    private StrictRequestDecoder(HttpServerOptions options, MonotonicClock clock, long backlogTicks) {
         super(options);
         this.clock = clock;
-        this.queued = queued;
-        opened = clock.now();
+        this.backlogTicks = backlogTicks;
+        acceptedAt = clock.now();
     }
 
-    /** Takes the place of the usual one, before anything has been read. */
-    public static StrictRequestDecoder on(
+    /**
+     * Puts a decoder, a {@link PipeliningGate} and a {@link LingeringClose} into the pipeline of a connection from
+     * which nothing has been read. {@code onOverflow} is called as {@link PipeliningGate} says.
+     */
+    static StrictRequestDecoder install(
             HttpConnection connection,
             HttpServerOptions options,
             MonotonicClock clock,
-            EventLoopLag lateness,
-            PipeliningGate.Held held,
-            Runnable tooFar) {
+            EventLoopLag lag,
+            PipeliningGate.TotalBytes totalBytes,
+            Runnable onOverflow) {
         Channel channel =
                 ((HttpServerConnection) connection).channelHandlerContext().channel();
+        StrictRequestDecoder decoder = new StrictRequestDecoder(options, clock, backlogTicks(channel, clock, lag));
+        decoder.gate = new PipeliningGate(decoder, clock, totalBytes, onOverflow);
+        decoder.lingeringClose = new LingeringClose(decoder, clock, lag);
         ChannelPipeline pipeline = channel.pipeline();
-        long queued = channel instanceof InterruptibleSocketChannel own ? own.queuedNanoseconds() / NANOSECONDS : 0;
-        if (queued > 0) {
-            // It may have come while the process stood still, before the listener saw that somebody waits.
-            queued += lateness.stalledAt(clock.now() - queued);
-        }
-        StrictRequestDecoder decoder = new StrictRequestDecoder(options, clock, queued);
         pipeline.replace("httpDecoder", "httpDecoder", decoder);
-        decoder.gate = new PipeliningGate(decoder, clock, held, tooFar);
-        decoder.linger = new LingeringClose(decoder, clock, lateness);
         pipeline.addBefore("handler", "gate", decoder.gate);
-        pipeline.addBefore("handler", "linger", decoder.linger);
+        pipeline.addBefore("handler", "linger", decoder.lingeringClose);
         return decoder;
     }
 
+    private static long backlogTicks(Channel channel, MonotonicClock clock, EventLoopLag lag) {
+        long ticks =
+                channel instanceof InterruptibleSocketChannel own ? own.backlogNanoseconds() / NANOSECONDS_PER_TICK : 0;
+        // The client may have connected while the process stood still, before the listener saw that it had to wait.
+        return ticks > 0 ? ticks + lag.stalledAt(clock.now() - ticks) : 0;
+    }
+
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf bytes, List<Object> out) throws Exception {
-        heard = clock.now();
-        if (deaf) {
+        lastReadAt = clock.now();
+        if (discardsInput) {
             bytes.skipBytes(bytes.readableBytes());
             return;
         }
         if (!partial) {
             partial = true;
-            begun = heard;
+            messageBegunAt = lastReadAt;
         }
         int before = out.size();
         super.decode(context, bytes, out);
@@ -83,44 +90,62 @@
         }
     }
 
-    /** Whether a message has begun that is not whole: its client has lately sent, and may be sending. */
-    boolean partial() {
+    @Override
+    protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
+        throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
+    }
+
+    /** From now on what comes is read, so that the connection's end is seen, and dropped. */
+    void discardInput() {
+        discardsInput = true;
+    }
+
+    boolean discardsInput() {
+        return discardsInput;
+    }
+
+    /** Whether a message has begun that is not complete. */
+    boolean isPartial() {
         return partial;
     }
 
-    /** Whether further messages wait for the answer to the one that was let through. */
-    public boolean waits() {
-        return gate.waits();
+    /** When the first bytes came of the message that is partial, or of the latest one. */
+    long messageBegunAt() {
+        return messageBegunAt;
     }
 
-    /**
-     * How long the message that was let through may have waited before its connection was accepted: nothing, unless it
-     * was read right behind that. The bound is that of the connection; what came later is not known to have waited.
-     */
-    long queued(long late) {
-        return cameAt() - opened <= AT_ONCE + 2 * late ? queued : 0;
+    /** When bytes last came; 0 before the first. */
+    long lastReadAt() {
+        return lastReadAt;
     }
 
-    // Of a tenth of a millisecond.
-    private static final long NANOSECONDS = 100_000;
-    // Tenths of a millisecond from the accept to the first read.
-    private static final long AT_ONCE = 500;
+    /** Whether pipelined requests wait for the response to the request that was let through. */
+    boolean hasPipelined() {
+        return gate.hasPipelined();
+    }
 
-    /** When the last byte of the message that was let through came. */
-    long cameAt() {
-        return gate.cameAt();
+    /** When the last byte came of the request that was let through. */
+    long receivedAt() {
+        return gate.receivedAt();
     }
 
-    public long begun() {
-        return begun;
+    /**
+     * How long the request that was let through may have waited before its connection was accepted. The time is known
+     * of the connection alone: it counts only for a request that was read right behind the accept.
+     *
+     * @param lagTicks by how much the event loop may have been late with that read
+     */
+    long backlogTicks(long lagTicks) {
+        return receivedAt() - acceptedAt <= FIRST_READ_TICKS + 2 * lagTicks ? backlogTicks : 0;
     }
 
-    public long heard() {
-        return heard;
+    /** Whether this side has closed the connection, and waits for the client's end. */
+    boolean isLingering() {
+        return lingeringClose.isLingering();
     }
 
-    @Override
-    protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
+    /** Closes the connection at once; what is still to be read or written is lost. */
+    void closeNow() {
+        lingeringClose.closeNow();
     }
 }
--- /dev/null
+++ b/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
@@ -0,0 +1,149 @@
+package trestlegrade.inbound;
+
+import io.vertx.core.MultiMap;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpServerRequest;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import trestlegrade.config.SidecarConfig;
+import trestlegrade.metrics.Counters;
+import trestlegrade.policy.settings.PolicySettings.Profile;
+import trestlegrade.policy.settings.PolicySettings.Repeat;
+import trestlegrade.runtime.EventLoopLag;
+import trestlegrade.runtime.PolicyExecutor;
+
+/** Makes a transaction of a request that has been read, or rejects it, and hands the transaction to the policy. */
+final class TransactionAcceptor implements RequestReader.Handler {
+    private static final int NO_CUSTOMER = -1;
+
+    private final Counters counters;
+    private final PolicyExecutor executor;
+    private final DescriptorBudget descriptors;
+    private final EventLoopLag lag;
+    private final ClientConnections connections;
+    private final ResponseWriter writer;
+    private final GracefulShutdown shutdown;
+    private final RequestDeadline deadline;
+    private final OpenTraceIds openTraceIds = new OpenTraceIds();
+    private SidecarConfig config;
+    private Map<String, Integer> profiles;
+    private Map<String, Integer> customers;
+
+    TransactionAcceptor(
+            Counters counters,
+            PolicyExecutor executor,
+            DescriptorBudget descriptors,
+            EventLoopLag lag,
+            ClientConnections connections,
+            ResponseWriter writer,
+            GracefulShutdown shutdown,
+            RequestDeadline deadline) {
+        this.counters = counters;
+        this.executor = executor;
+        this.descriptors = descriptors;
+        this.lag = lag;
+        this.connections = connections;
+        this.writer = writer;
+        this.shutdown = shutdown;
+        this.deadline = deadline;
+    }
+
+    /** New settings, for requests that are read from now on. */
+    void applyConfig(SidecarConfig applied) {
+        config = applied;
+        profiles = indexByName(applied.profiles());
+        customers = indexByName(applied.customers());
+    }
+
+    OpenTraceIds openTraceIds() {
+        return openTraceIds;
+    }
+
+    /** Its client has disconnected before the final response. */
+    void clientDisconnected(InboundRequest transaction) {
+        openTraceIds.remove(transaction.head.headers().get(ProtocolFields.TRACE_ID));
+        executor.clientLeft(transaction);
+    }
+
+    @Override
+    public void onRequest(HttpServerRequest request, ClientConnection connection, Buffer body) {
+        String traceId = request.getHeader(ProtocolFields.TRACE_ID);
+        long timeoutTicks = HeaderRules.timeoutTicks(request.getHeader(ProtocolFields.TIMEOUT));
+        String uri = HeaderRules.decodeUtf8(request.uri());
+        Integer profile = profiles.get(profileName(request, uri));
+        boolean malformed = traceId == null
+                || traceId.isEmpty()
+                || timeoutTicks < 0
+                || uri == null
+                || !request.uri().startsWith("/");
+        if (openTraceIds.contains(traceId)) {
+            writer.reject(connection, request.response(), Rejection.TRACE_ID_IN_USE);
+        } else if (malformed) {
+            writer.reject(connection, request.response(), Rejection.MALFORMED_REQUEST);
+        } else if (profile == null) {
+            writer.reject(connection, request.response(), Rejection.UNKNOWN_PROFILE);
+        } else if (connection.endReason() != null && !connections.servesOnce(connection)) {
+            writer.reject(connection, request.response(), Rejection.CONNECTION_ENDING);
+        } else {
+            RequestMetadata metadata = metadata(request, connection, profile, timeoutTicks);
+            RequestHead head = new RequestHead(request.method().name(), uri, forwardedHeaders(request));
+            accept(request, connection, head, body, metadata);
+        }
+    }
+
+    /** {@code uri} is null if the target is no UTF-8. */
+    private static String profileName(HttpServerRequest request, String uri) {
+        String named = HeaderRules.decodeUtf8(request.getHeader(ProtocolFields.PROFILE));
+        return named != null ? named : HeaderRules.firstPathSegment(uri == null ? request.uri() : uri);
+    }
+
+    private static MultiMap forwardedHeaders(HttpServerRequest request) {
+        return HeaderRules.forwardedHeaders(request.headers(), request.getHeader("Connection"));
+    }
+
+    private RequestMetadata metadata(
+            HttpServerRequest request, ClientConnection connection, int profile, long timeoutTicks) {
+        Profile settings = config.terms().profiles().get(profile);
+        String customer = HeaderRules.decodeUtf8(request.getHeader(ProtocolFields.CUSTOMER));
+        return new RequestMetadata(
+                profile,
+                settings.repeat() == Repeat.IDEMPOTENT,
+                customers.getOrDefault(customer, NO_CUSTOMER),
+                HeaderRules.affinityKey(request.uri()),
+                deadline.of(connection, Math.min(timeoutTicks, settings.deadline())),
+                HeaderRules.costHintTicks(request.getHeader(ProtocolFields.COST_HINT)));
+    }
+
+    private void accept(
+            HttpServerRequest request,
+            ClientConnection connection,
+            RequestHead head,
+            Buffer body,
+            RequestMetadata metadata) {
+        String traceId = request.getHeader(ProtocolFields.TRACE_ID);
+        InboundRequest transaction = new InboundRequest(
+                head,
+                body,
+                metadata,
+                new TransactionResponder(connection, request.response(), traceId, openTraceIds, writer));
+        connection.transactionAccepted(transaction);
+        openTraceIds.add(traceId);
+        counters.taken++;
+        if (shutdown.isClosing()) {
+            connection.endWith(ConnectionEndReason.SHUTTING_DOWN);
+        }
+        if (connection.transactionCount() == 1 && descriptors.clientWaitedLately()) {
+            // It may have waited in the backlog, and its client's end with it: that is read first.
+            lag.afterReading(() -> executor.arrived(transaction));
+        } else {
+            executor.arrived(transaction);
+        }
+    }
+
+    private static Map<String, Integer> indexByName(List<String> names) {
+        Map<String, Integer> indexes = new HashMap<>();
+        names.forEach(name -> indexes.put(name, indexes.size()));
+        return indexes;
+    }
+}
--- a/sidecar/src/main/java/trestlegrade/metrics/RejectionCounters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/RejectionCounters.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import org.tinylog.Logger;
 import trestlegrade.inbound.InboundRequest;
+import trestlegrade.inbound.ProtocolFields;
 import trestlegrade.outbound.OutboundAttempt;
 import trestlegrade.policy.request.RejectionReason;
 
@@ -49,9 +50,9 @@
             return;
         }
         tally.sampledAt = now;
-        String id = exchange.head.get("X-Trace-Id");
+        String id = exchange.head.headers().get(ProtocolFields.TRACE_ID);
         String attempts = attempts(exchange);
-        long left = (exchange.end - now) / 10;
+        long left = (exchange.metadata.deadline() - now) / 10;
         long like = tally.sinceSample;
         tally.sinceSample = 0;
         log.add(() -> Logger.info(
--- a/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
@@ -86,7 +86,7 @@
 
     /** Connections to endpoints that are open or coming up. */
     public int connections() {
-        return descriptors.held();
+        return descriptors.inUse();
     }
 
     /** Starts an attempt; the timeout is in tenths of a millisecond. */
@@ -102,7 +102,7 @@
         PooledConnection connection = idleConnection(attempt);
         if (connection != null) {
             write(attempt, connection);
-        } else if (!descriptors.full() || closeOneIdle()) {
+        } else if (!descriptors.isExhausted() || closeOneIdle()) {
             connect(attempt);
         } else {
             counters.noDescriptor++;
@@ -112,7 +112,11 @@
 
     /** At the end of its transaction it has timed out, whichever comes first, this or its timer. */
     public void callOff(OutboundAttempt attempt) {
-        settle(attempt, clock.now() < attempt.exchange.end ? AttemptOutcome.CALLED_OFF : AttemptOutcome.TIMED_OUT);
+        settle(
+                attempt,
+                clock.now() < attempt.exchange.metadata.deadline()
+                        ? AttemptOutcome.CALLED_OFF
+                        : AttemptOutcome.TIMED_OUT);
     }
 
     /** Idle connections to an endpoint that left, drains or started anew are of no more use. */
@@ -129,7 +133,7 @@
     private PooledConnection idleConnection(OutboundAttempt attempt) {
         Deque<PooledConnection> free = idle.get(attempt.endpoint.id);
         long now = clock.now();
-        boolean repeatable = attempt.exchange.repeatable;
+        boolean repeatable = attempt.exchange.metadata.idempotent();
         if (free != null) {
             for (Iterator<PooledConnection> each = free.descendingIterator(); each.hasNext(); ) {
                 PooledConnection connection = each.next();
@@ -168,14 +172,14 @@
     public static final int SETTLED = 30;
 
     private void connect(OutboundAttempt attempt) {
-        descriptors.take();
+        descriptors.acquire();
         counters.connects++;
         Endpoint endpoint = attempt.endpoint;
         long asked = clock.now();
         client.connect(new ConnectOptions().setRemoteAddress(endpoint.address).setTimeout((int) connectWithin))
                 .onComplete(up -> {
                     if (up.failed()) {
-                        descriptors.giveBack();
+                        descriptors.release();
                         counters.ended("pooled", "connect-failed", endpoint.name, 0, clock.now() - asked);
                         settle(attempt, AttemptOutcome.NO_CONNECTION);
                         return;
@@ -212,7 +216,7 @@
     }
 
     private void closed(PooledConnection connection) {
-        descriptors.giveBack();
+        descriptors.release();
         connection.closed = true;
         String code = connection.reason != null
                 ? connection.reason
--- a/sidecar/src/main/java/trestlegrade/outbound/PooledConnection.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/PooledConnection.java
@@ -67,7 +67,7 @@
     public Future<Void> write(OutboundAttempt next, long now) {
         attempt = next;
         carried++;
-        return socket.writeMessage(HeaderRules.attempt(next.exchange, next.exchange.end - now));
+        return socket.writeMessage(HeaderRules.attemptMessage(next.exchange, next.exchange.metadata.deadline() - now));
     }
 
     /**
@@ -95,11 +95,12 @@
             if (part instanceof HttpResponse head) {
                 attempt.head = head;
                 body = Buffer.buffer();
-                if (HeaderRules.length(head.headers().get("Content-Length")) > InboundHttpServer.LONGEST_BODY) {
+                if (HeaderRules.contentLength(head.headers().get("Content-Length"))
+                        > InboundHttpServer.MAX_BODY_BYTES) {
                     owner.spoilt(attempt, "oversized");
                 }
             } else if (part instanceof HttpContent content) {
-                if (body.length() + content.content().readableBytes() > InboundHttpServer.LONGEST_BODY) {
+                if (body.length() + content.content().readableBytes() > InboundHttpServer.MAX_BODY_BYTES) {
                     owner.spoilt(attempt, "oversized");
                     return;
                 }
@@ -126,7 +127,7 @@
 
     @Override
     public boolean bodiless() {
-        return attempt != null && attempt.exchange.method.equals("HEAD");
+        return attempt != null && attempt.exchange.head.method().equals("HEAD");
     }
 
     @Override
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -116,11 +116,11 @@
             tenure.balance.arrived(
                     now,
                     exchange.id,
-                    exchange.profile,
-                    exchange.customer,
-                    exchange.key,
-                    exchange.end - now,
-                    exchange.cost);
+                    exchange.metadata.profile(),
+                    exchange.metadata.customer(),
+                    exchange.metadata.affinityKey(),
+                    exchange.metadata.deadline() - now,
+                    exchange.metadata.costHintTicks());
             forgetIfOver(exchange);
         });
     }
@@ -148,7 +148,7 @@
             counters.attempt(outcome);
             if (outcome == AttemptOutcome.COMMITTED) {
                 exchange.commit(
-                                HeaderRules.onward(
+                                HeaderRules.forwardedHeaders(
                                         attempt.head.headers(),
                                         attempt.head.headers().get("Connection")),
                                 attempt.answer,
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -190,7 +190,7 @@
                     return new WarmUp(vertx, context, clock, lateness, commission, log).play();
                 })
                 .onSuccess(played -> {
-                    front.ready();
+                    front.markReady();
                     long took = (clock.now() - begun) / 10;
                     log.add(() -> Logger.info("serve code=ready rehearsed={} after_ms={}", played, took));
                 });
@@ -201,8 +201,8 @@
         counters.gauge("transactions", desk::open);
         counters.gauge("decided_on", desk::decidedOn);
         counters.gauge("settings_in_use", desk::settingsInUse);
-        counters.gauge("open_ids", front::openIds);
-        counters.gauge("request_body_kb", () -> front.bodyBytes() >> 10);
+        counters.gauge("open_ids", front::openTraceIds);
+        counters.gauge("request_body_kb", () -> front.requestBodyBytes() >> 10);
         counters.gauge("answer_body_kb", () -> attempts.answerBytes() >> 10);
         counters.gauge("clients", front::connections);
         counters.gauge("pooled", attempts::connections);
@@ -239,7 +239,7 @@
         if (!told.sameSettings(inForce)) {
             inForce = told;
             attempts.adopt(told);
-            front.adopt(told);
+            front.applyConfig(told);
             discovery.adopt(told.terms());
             lease.grace(told.drainGrace());
             desk.adopt(
@@ -257,6 +257,6 @@
     private void leave() {
         int open = desk.open();
         log.add(() -> Logger.info("serve code=leaving open={}", open));
-        front.leave(ended::countDown);
+        front.shutDown(ended::countDown);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
@@ -12,6 +12,8 @@
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.discovery.EndpointRegistry;
 import trestlegrade.inbound.InboundRequest;
+import trestlegrade.inbound.RequestHead;
+import trestlegrade.inbound.RequestMetadata;
 import trestlegrade.metrics.AsyncLog;
 import trestlegrade.metrics.Counters;
 import trestlegrade.outbound.AttemptSender;
@@ -101,16 +103,15 @@
         int profile = asked % commission.profiles().size();
         long now = clock.now();
         desk.arrived(new InboundRequest(
-                asked++ % 2 == 0 ? "GET" : "POST",
-                TARGET,
-                HttpHeaders.headers(),
+                new RequestHead(asked++ % 2 == 0 ? "GET" : "POST", TARGET, HttpHeaders.headers()),
                 body,
-                profile,
-                false,
-                0,
-                asked,
-                now + commission.terms().profiles().get(profile).deadline(),
-                0,
+                new RequestMetadata(
+                        profile,
+                        false,
+                        0,
+                        asked,
+                        now + commission.terms().profiles().get(profile).deadline(),
+                        0),
                 this));
     }
 
@@ -131,7 +132,7 @@
     }
 
     @Override
-    public boolean gone() {
+    public boolean isDisconnected() {
         return false;
     }
 
--- a/sidecar/src/test/java/trestlegrade/inbound/BoundedTransportTest.java
+++ b/sidecar/src/test/java/trestlegrade/inbound/BoundedTransportTest.java
@@ -39,8 +39,8 @@
     @Test
     void whoWaitsIsLetInWhenADescriptorComesFreeBetweenTheLastLooks() throws Exception {
         DescriptorBudget descriptors = DescriptorBudget.forClients(64);
-        for (int i = 0; i < descriptors.most(); i++) {
-            descriptors.take();
+        for (int i = 0; i < descriptors.limit(); i++) {
+            descriptors.acquire();
         }
         BoundedTransport transport = new BoundedTransport(descriptors, new Counters.Turns(), cause -> {});
         MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory());
@@ -62,19 +62,19 @@
                     .getPort();
             client.setSoTimeout(5_000);
             client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            Loopback.eventually(descriptors::awaitedLately);
+            Loopback.eventually(descriptors::clientWaitedLately);
             EventLoop loop = loops.next();
             loop.execute(() -> {
                 // Due in one turn with the listener's two looks, and just before each.
                 loop.schedule(
                         () -> {
-                            loop.schedule(descriptors::giveBack, 1, TimeUnit.MILLISECONDS);
+                            loop.schedule(descriptors::release, 1, TimeUnit.MILLISECONDS);
                             loop.execute(BoundedTransportTest::stall);
                         },
                         1,
                         TimeUnit.MILLISECONDS);
                 MonotonicClock clock = new MonotonicClock();
-                transport.shut(clock, clock.now() + 50_000, ended::countDown);
+                transport.closeListener(clock, clock.now() + 50_000, ended::countDown);
                 loop.execute(BoundedTransportTest::stall);
             });
             assertEquals(7, client.getInputStream().read());
@@ -90,8 +90,8 @@
     @Test
     void whoFindsRoomHasNotWaitedHoweverLongAgoOthersDid() throws Exception {
         DescriptorBudget descriptors = DescriptorBudget.forClients(64);
-        for (int i = 0; i < descriptors.most(); i++) {
-            descriptors.take();
+        for (int i = 0; i < descriptors.limit(); i++) {
+            descriptors.acquire();
         }
         BoundedTransport transport = new BoundedTransport(descriptors, new Counters.Turns(), cause -> {});
         MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory());
@@ -112,15 +112,15 @@
                     .channel()
                     .localAddress();
             first.connect(address);
-            Loopback.eventually(descriptors::awaitedLately);
+            Loopback.eventually(descriptors::clientWaitedLately);
             Loopback.pause(200);
-            descriptors.giveBack();
-            long waited = letIn.poll(5, TimeUnit.SECONDS).queuedNanoseconds();
+            descriptors.release();
+            long waited = letIn.poll(5, TimeUnit.SECONDS).backlogNanoseconds();
             assertTrue(waited >= 150_000_000, "waited " + waited);
             Loopback.pause(500);
-            descriptors.giveBack();
+            descriptors.release();
             second.connect(address);
-            assertEquals(0, letIn.poll(5, TimeUnit.SECONDS).queuedNanoseconds());
+            assertEquals(0, letIn.poll(5, TimeUnit.SECONDS).backlogNanoseconds());
         } finally {
             loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
--- a/sidecar/src/test/java/trestlegrade/integration/BodyMemoryBudgetIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/BodyMemoryBudgetIT.java
@@ -19,7 +19,7 @@
     private static final int CLIENTS = 480;
 
     private static String posted(int id) {
-        String body = "x".repeat(InboundHttpServer.LONGEST_BODY);
+        String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
         return "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + id
                 + "\r\nX-Expires-In: 39000m\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
@@ -29,7 +29,7 @@
         Gate gate = new Gate();
         Stub endpoint = endpoint(r -> {
             gate.pass();
-            return answer(200, "", "y".repeat(InboundHttpServer.LONGEST_BODY));
+            return answer(200, "", "y".repeat(InboundHttpServer.MAX_BODY_BYTES));
         });
         patient();
         // Neither long waits, slow connects nor a lack of descriptors refuse any: the memory alone is asked for here.
--- a/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
@@ -84,7 +84,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void oneThatReadsItsAnswersLate(boolean ends) throws Exception {
-        String body = "x".repeat(InboundHttpServer.LONGEST_BODY);
+        String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
         endpoint(r -> answer(200, "", body));
         patient();
         serve();
@@ -119,7 +119,7 @@
     /** It has longer than any transaction may wait, and no more than that. */
     @Test
     void oneThatNeverReadsItsAnswersIsEnded() throws Exception {
-        String body = "x".repeat(InboundHttpServer.LONGEST_BODY);
+        String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
         endpoint(r -> answer(200, "", body));
         serve();
         try (Socket socket = new Socket()) {
@@ -136,7 +136,7 @@
     /** They send on and read nothing: what is held for them has a bound, and others are served. */
     @Test
     void thoseThatReadNothing() throws Exception {
-        String body = "x".repeat(InboundHttpServer.LONGEST_BODY);
+        String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
         endpoint(r -> answer(200, "", header(r, "X-Trace-Id").startsWith("t") ? body : "good"));
         patient();
         serve();
@@ -241,7 +241,7 @@
         sockets = 64;
         patient();
         serve();
-        for (int i = 0; i < DescriptorBudget.forClients(sockets).most() / 2; i++) {
+        for (int i = 0; i < DescriptorBudget.forClients(sockets).limit() / 2; i++) {
             client().ask(transaction("quote", "crowd" + i, 9_000));
         }
         for (int i = 0; i < 12; i++) {
@@ -370,7 +370,7 @@
         }
         String got = next.read();
         if (got.startsWith("HTTP/1.1 200 ")) {
-            long told = HeaderRules.patience(header(endpoint.seen.get(0), "X-Expires-In")) / 10;
+            long told = HeaderRules.timeoutTicks(header(endpoint.seen.get(0), "X-Expires-In")) / 10;
             long left = 2_900 - (seenAt[0] - asked) / 1_000_000;
             assertTrue(told <= left + 150, "told " + told + " ms with " + left + " ms left");
         } else {
--- a/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
@@ -186,7 +186,7 @@
         for (int round = 0; round < 3; round++) {
             String trace = "t" + round;
             List<Client> holding = new ArrayList<>();
-            for (int i = 0; i < DescriptorBudget.forClients(sockets).most(); i++) {
+            for (int i = 0; i < DescriptorBudget.forClients(sockets).limit(); i++) {
                 holding.add(client());
             }
             List<Client> queue = new ArrayList<>();
--- a/sidecar/src/test/java/trestlegrade/integration/CompletedTransactionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/CompletedTransactionsIT.java
@@ -34,7 +34,7 @@
     }
 
     private static String posted(String trace) {
-        String body = "x".repeat(InboundHttpServer.LONGEST_BODY);
+        String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
         return "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + trace
                 + "\r\nX-Expires-In: 900m\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
--- a/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
@@ -128,7 +128,7 @@
         sockets = 64;
         limits(settings(), 1_000, 400);
         serve();
-        for (int i = 0; i < DescriptorBudget.forClients(sockets).most(); i++) {
+        for (int i = 0; i < DescriptorBudget.forClients(sockets).limit(); i++) {
             client();
         }
         List<Client> queue = new ArrayList<>();
--- a/sidecar/src/test/java/trestlegrade/integration/ServeIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ServeIT.java
@@ -400,11 +400,11 @@
                 .put("service_goal", 40_000);
         Stub endpoint = endpoint(r -> HANG);
         serve();
-        int room = DescriptorBudget.forClients(sockets).most();
+        int room = DescriptorBudget.forClients(sockets).limit();
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < room; i++) {
             clients.add(client());
-            if (i < DescriptorBudget.forAttempts(sockets).most()) {
+            if (i < DescriptorBudget.forAttempts(sockets).limit()) {
                 clients.get(i).write(transaction("quote", "t" + i, 30_000));
                 eventually(() -> endpoint.seen.size() == clients.size());
             }
--- a/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
@@ -153,7 +153,7 @@
             assertTrue(got.startsWith("HTTP/1.1 "), got);
             String request = endpoint.seen.get(endpoint.seen.size() - 1);
             assertEquals(trace, header(request, "X-Trace-Id"));
-            long told = HeaderRules.patience(header(request, "X-Expires-In")) / 10;
+            long told = HeaderRules.timeoutTicks(header(request, "X-Expires-In")) / 10;
             long left = 1_400 - (seenAt[0] - asked) / 1_000_000;
             assertTrue(told <= left + 150, "told " + told + " ms with " + left + " ms left");
         }
