--- a/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
@@ -193,7 +193,7 @@
         for (int round = 0; round < 3; round++) {
             String trace = "t" + round;
             List<TestClient> holding = new ArrayList<>();
-            for (int i = 0; i < DescriptorBudget.forClients(sockets).most(); i++) {
+            for (int i = 0; i < DescriptorBudget.forClients(sockets).limit(); i++) {
                 holding.add(client());
             }
             List<TestClient> queue = new ArrayList<>();
--- a/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
@@ -133,7 +133,7 @@
         sockets = 64;
         limits(settings(), 1_000, 400);
         serve();
-        for (int i = 0; i < DescriptorBudget.forClients(sockets).most(); i++) {
+        for (int i = 0; i < DescriptorBudget.forClients(sockets).limit(); i++) {
             client();
         }
         List<TestClient> queue = new ArrayList<>();
