--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -14,6 +14,7 @@
 import org.tinylog.Logger;
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.discovery.DiscoveryClient;
+import trestlegrade.discovery.EndpointListSource;
 import trestlegrade.discovery.EndpointRegistry;
 import trestlegrade.inbound.BoundedTransport;
 import trestlegrade.inbound.DescriptorBudget;
@@ -41,7 +42,7 @@
     private PolicyExecutor desk;
     private AttemptSender attempts;
     private InboundHttpServer front;
-    private DiscoveryClient discovery;
+    private EndpointListSource discovery;
 
     public Sidecar(SidecarConfig commission, Map<String, String> environment) {
         this.commission = commission;
@@ -165,13 +166,11 @@
         EndpointRegistry roster =
                 new EndpointRegistry(commission.zones(), commission.kinds(), attempts::outdated, counters);
         discovery = new DiscoveryClient(
-                vertx,
-                clock,
-                counters,
-                lateness,
+                new DiscoveryClient.Surroundings(vertx, clock, counters, lateness),
                 commission.discovery(),
                 commission.version(),
-                desk,
+                desk::listed,
+                desk::listFailed,
                 lease,
                 commission.seed() + 1);
         discovery.adopt(commission.terms());
@@ -180,7 +179,7 @@
         gauges(vertx);
         desk.start(roster, attempts, discovery::watch, commission.known());
         return discovery
-                .relied()
+                .firstListReceived()
                 .compose(v -> front.listen())
                 .onFailure(e -> log.add(() -> Logger.error(
                         "serve code=listen-failed listen={} cause={}", commission.listen(), e.getMessage())))
@@ -190,7 +189,7 @@
                     return new WarmUp(vertx, context, clock, lateness, commission, log).play();
                 })
                 .onSuccess(played -> {
-                    front.ready();
+                    front.markReady();
                     long took = (clock.now() - begun) / 10;
                     log.add(() -> Logger.info("serve code=ready rehearsed={} after_ms={}", played, took));
                 });
@@ -201,13 +200,13 @@
         counters.gauge("transactions", desk::open);
         counters.gauge("decided_on", desk::decidedOn);
         counters.gauge("settings_in_use", desk::settingsInUse);
-        counters.gauge("open_ids", front::openIds);
-        counters.gauge("request_body_kb", () -> front.bodyBytes() >> 10);
+        counters.gauge("open_ids", front::openTraceIds);
+        counters.gauge("request_body_kb", () -> front.requestBodyBytes() >> 10);
         counters.gauge("answer_body_kb", () -> attempts.answerBytes() >> 10);
         counters.gauge("clients", front::connections);
         counters.gauge("pooled", attempts::connections);
         counters.gauge("list_version", discovery::version);
-        counters.gauge("list_unconfirmed_ms", discovery::age);
+        counters.gauge("list_unconfirmed_ms", discovery::ageMillis);
         HeapMonitor.start(vertx, counters);
     }
 
@@ -239,9 +238,9 @@
         if (!told.sameSettings(inForce)) {
             inForce = told;
             attempts.adopt(told);
-            front.adopt(told);
+            front.applyConfig(told);
             discovery.adopt(told.terms());
-            lease.grace(told.drainGrace());
+            lease.setDrainGrace(told.drainGrace());
             desk.adopt(
                     told.terms(),
                     commission.seed(),
@@ -257,6 +256,6 @@
     private void leave() {
         int open = desk.open();
         log.add(() -> Logger.info("serve code=leaving open={}", open));
-        front.leave(ended::countDown);
+        front.shutDown(ended::countDown);
     }
 }
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -98,12 +98,21 @@
     void loseDiscovery(boolean moved) {
         discoveryReachable = false;
         if (moved) {
-            sidecars.forEach(each -> each.lease.moved(now));
+            sidecars.forEach(each -> each.lease.discoveryMoved(now));
         } else {
-            sidecars.get(0).lease.unwatched(now);
+            sidecars.get(0).lease.pushWatchEnded(now);
         }
     }
 
+    void endSidecarsLater(long delay, long span) {
+        after(delay, () -> endSidecarsBy(span));
+    }
+
+    /** Every sidecar's watch on the list ends, and calls of discovery fail until it recovers. */
+    void failWatches() {
+        sidecars.forEach(each -> each.balance.onEndpointListFailed(now));
+    }
+
     void restartSidecar(int index) {
         sidecars.get(index % sidecars.size()).start(now + index, true);
     }
@@ -204,7 +213,7 @@
             return;
         }
         for (Sidecar each : sidecars) {
-            each.lease.confirmed(now);
+            each.lease.renew(now);
             if (scenario.liveWeights() || each.toldVersion != listVersion) {
                 each.list(random.nextInt(4) == 0);
             }
@@ -264,6 +273,7 @@
             int profile = random.nextInt(3);
             int customer = random.nextInt(10) < 7 ? 0 : random.nextInt(3) - 1 + (random.nextInt(9) == 0 ? 5 : 0);
             long key = random.nextInt(3) == 0 ? 0 : 1 + (long) Math.abs(random.nextGaussian() * 40);
+            key = scenario.name().equals("hot-keys") && key < 15 ? 1 : key;
             long patience = (300 + random.nextInt(700)) * MILLISECOND;
             long cost = random.nextInt(4) == 0 ? 0 : 500 + random.nextInt(1_000);
             profiles.put(id, profile);
@@ -366,7 +376,7 @@
             record(6, 0, 0, 0, 0);
             after(5 * MILLISECOND, () -> {
                 if (discoveryReachable) {
-                    lease.confirmed(now);
+                    lease.renew(now);
                     list(false);
                 } else {
                     balance.onEndpointListFailed(now);
