--- /dev/null
+++ b/sidecar/src/test/java/trestlegrade/policy/FinalAnswerTest.java
@@ -0,0 +1,127 @@
+package trestlegrade.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import trestlegrade.policy.PolicyHarness.FinalAnswer;
+import trestlegrade.policy.PolicyHarness.Rejection;
+import trestlegrade.policy.PolicyHarness.SentAttempt;
+import trestlegrade.policy.endpoint.EndpointUpdate.State;
+import trestlegrade.policy.request.AttemptOutcome;
+import trestlegrade.policy.settings.PolicySettings.Group;
+
+/** Rule 1: one final answer for each transaction, and nothing kept after it. */
+class FinalAnswerTest {
+
+    /** However it is given up, nothing of a transaction is held once it has its answer and no attempt is out. */
+    @ParameterizedTest
+    @ValueSource(strings = {"DRAINING", "COLD", "FAILED"})
+    void rejectedTransactionIsForgotten(String cause) {
+        PolicyHarness harness = new PolicyHarness().fleet(cause.equals("DRAINING") ? State.DRAINING : State.READY, 0);
+        for (int i = 0; i < 1_000; i++) {
+            harness.arrive(i % 3);
+            if (cause.equals("FAILED")) {
+                while (harness.loadBalancer.heldTransactions() > 0) {
+                    harness.end(harness.last(), AttemptOutcome.NO_CONNECTION, 10);
+                }
+            } else if (cause.equals("COLD")) {
+                harness.now += 10;
+            }
+        }
+        if (cause.equals("COLD")) {
+            harness.advance(20_000);
+            List.copyOf(harness.sent).forEach(each -> harness.end(each, AttemptOutcome.TIMED_OUT, 10_000));
+        }
+        harness.advance(20_000);
+        assertEquals(0, harness.loadBalancer.heldTransactions());
+        assertEquals(1_000, harness.answers.size());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "2, TIMED_OUT,     ABANDONED",
+        "0, TIMED_OUT,     ROLLED_BACK",
+        "1, TIMED_OUT,     ABANDONED",
+        "2, ,              ABANDONED",
+        "0, ,              ROLLED_BACK",
+    })
+    void oneFinalAnswerAtTheDeadline(int profile, AttemptOutcome outcome, Rejection expected) {
+        PolicyHarness harness = new PolicyHarness(Group.CELL, 1).fleet(State.READY, 0);
+        long id = harness.arrive(profile);
+        SentAttempt attempt = harness.last();
+        if (outcome != null) {
+            harness.now += 10_000;
+            harness.end(attempt, outcome, 10_000);
+        }
+        harness.advance(10_200);
+        assertEquals(List.of(new FinalAnswer(expected, id)), harness.answers);
+        harness.end(attempt, AttemptOutcome.BROKEN, 10_300);
+        harness.loadBalancer.onClientDisconnected(harness.now, id);
+        harness.advance(20_000);
+        assertEquals(1, harness.sent.size());
+        assertEquals(1, harness.answers.size());
+    }
+
+    @Test
+    void noAnswerOnceTheClientHasLeftOrHasIts() {
+        PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
+        long left = harness.arrive(0);
+        harness.loadBalancer.onClientDisconnected(harness.now, left);
+        harness.end(harness.last(), AttemptOutcome.ERROR, 100);
+        harness.arrive(2);
+        harness.end(harness.last(), AttemptOutcome.COMMITTED, 100);
+        harness.loadBalancer.onClientDisconnected(harness.now, 12345);
+        harness.advance(20_000);
+        assertEquals(2, harness.sent.size());
+        assertEquals(List.of(), harness.answers);
+        assertEquals(List.of(left), harness.cancelled);
+    }
+
+    /** With no endpoint a transaction waits a little for one and is then rolled back, not kept to its end. */
+    @ParameterizedTest
+    @ValueSource(strings = {"none", "draining", "later"})
+    void withoutEndpointATransactionWaitsALittleAndIsRolledBack(String list) {
+        PolicyHarness harness = new PolicyHarness();
+        if (list.equals("draining")) {
+            harness.fleet(State.DRAINING, 0);
+        }
+        long id = harness.arrive(2);
+        harness.advance(500);
+        if (list.equals("later")) {
+            harness.fleet(State.READY, 0);
+            assertEquals(1, harness.sent.size());
+            return;
+        }
+        harness.advance(1_500);
+        assertEquals(List.of(), harness.sent);
+        assertEquals(List.of(FinalAnswer.rolledBack(id)), harness.answers);
+    }
+
+    /** A burst on a fleet that is cold as a whole: most wait in vain, and each gets one answer all the same. */
+    @Test
+    void burstOnAColdFleetIsAnswered() {
+        PolicyHarness harness = new PolicyHarness();
+        harness.fleet(State.READY, harness.now);
+        for (int i = 0; i < 100; i++) {
+            for (int j = 0; j < 20; j++) {
+                harness.arrive(2);
+            }
+            harness.advance(100);
+        }
+        long sentEarly = harness.sent.size();
+        assertTrue(sentEarly >= 10 && sentEarly <= 100, "sent " + sentEarly);
+        harness.advance(12_000);
+        assertEquals(2_000, harness.answers.size());
+        assertEquals(
+                2_000,
+                harness.answers.stream()
+                        .map(FinalAnswer::transactionId)
+                        .distinct()
+                        .count());
+    }
+}
--- /dev/null
+++ b/sidecar/src/test/java/trestlegrade/policy/OutlierEjectionTest.java
@@ -0,0 +1,71 @@
+package trestlegrade.policy;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import trestlegrade.policy.PolicyHarness.SentAttempt;
+import trestlegrade.policy.endpoint.EndpointUpdate.State;
+import trestlegrade.policy.request.AttemptOutcome;
+
+/** Ejection of endpoints that fall silent or fail, and their half-open probes. */
+class OutlierEjectionTest {
+
+    /** An endpoint that falls silent, fails at once or takes no connection is ejected early and taken back after. */
+    @ParameterizedTest
+    @CsvSource({", 0, 60", "ERROR, 20, 60", "BROKEN, 20, 60", "NO_CONNECTION, 1200, 60"})
+    void silentOrFailingEndpointIsEjectedEarlyAndTakenBack(AttemptOutcome outcome, long took, int most) {
+        PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
+        harness.traffic(20_000, -1, null, 0);
+        int attempts = harness.traffic(50_000, 103, outcome, took);
+        assertTrue(harness.loadBalancer.endpoint(103).ejection().isEjected());
+        assertTrue(attempts <= most, "still got " + attempts + " of about 2500 attempts");
+        for (SentAttempt each : List.copyOf(harness.sent)) {
+            if (each.endpointId() == 103) {
+                harness.end(each, AttemptOutcome.CALLED_OFF, 1);
+            }
+        }
+        harness.traffic(100_000, 103, AttemptOutcome.COMMITTED, 200);
+        assertFalse(harness.loadBalancer.endpoint(103).ejection().isEjected());
+        int back = harness.traffic(20_000, 103, AttemptOutcome.COMMITTED, 200);
+        assertTrue(back > 30, "only " + back + " of about 100 attempts");
+    }
+
+    /** Ejected endpoints take no more than a small part of a small sidecar's transactions as probes. */
+    @Test
+    @SuppressWarnings("ReferenceEquality") // Whether a further attempt was sent, not whether it is like the last.
+    void probesAreASmallPartOfFirstAttempts() {
+        PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
+        for (int i = 0; i < 600; i++) {
+            harness.arrive(0);
+            for (SentAttempt attempt = null; attempt != harness.last(); ) {
+                attempt = harness.last();
+                harness.advance(200);
+                harness.end(attempt, attempt.endpointId() < 104 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
+            }
+            harness.advance(4_400);
+        }
+        long late = harness.sent.stream()
+                .filter(s -> s.transactionId() > 300 && s.number() == 0 && s.endpointId() < 104)
+                .count();
+        assertTrue(late > 0 && late < 30, late + " of 300 first attempts went to failing endpoints");
+    }
+
+    /** Losing most of the fleet to silence leaves a third of it in use. */
+    @Test
+    void aThirdOfTheWeightIsNeverEjected() {
+        PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
+        for (int i = 0; i < 400; i++) {
+            harness.arrive(0);
+            harness.advance(100);
+        }
+        long ejected = 0;
+        for (long id = 100; id < 110; id++) {
+            ejected += harness.loadBalancer.endpoint(id).ejection().isEjected() ? 1 : 0;
+        }
+        assertTrue(ejected > 0 && ejected <= 6, ejected + " ejected");
+    }
+}
--- a/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
+++ b/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
@@ -13,22 +13,42 @@
 import trestlegrade.policy.request.RejectionReason;
 import trestlegrade.policy.settings.PolicySettings.Group;
 
-/** A sidecar's decisions with a fleet of ten servers (ids 100 to 109), whose answers the test gives by hand. */
+/** A sidecar's decisions with a fleet of ten endpoints (ids 100 to 109), whose answers the test gives by hand. */
 public final class PolicyHarness implements PolicyActions {
-    public record Sent(long tx, long server, long timeout, int attempt) {}
+    /** An attempt that the decisions sent; attempts of a transaction are numbered from 0. */
+    public record SentAttempt(long transactionId, long endpointId, long timeoutTicks, int number) {}
 
-    public final List<Sent> sent = new ArrayList<>();
+    /** How a transaction was rejected. */
+    public enum Rejection {
+        ROLLED_BACK,
+        ABANDONED
+    }
+
+    /** A final answer that the decisions gave without an endpoint's response. */
+    public record FinalAnswer(Rejection rejection, long transactionId) {
+        /** It has had no effect. */
+        public static FinalAnswer rolledBack(long transactionId) {
+            return new FinalAnswer(Rejection.ROLLED_BACK, transactionId);
+        }
+
+        /** Nothing is promised of its effect. */
+        public static FinalAnswer abandoned(long transactionId) {
+            return new FinalAnswer(Rejection.ABANDONED, transactionId);
+        }
+    }
+
+    public final List<SentAttempt> sent = new ArrayList<>();
     private final List<Long> sentAt = new ArrayList<>();
-    public final List<String> answers = new ArrayList<>();
-    public final List<RejectionReason> refusals = new ArrayList<>();
-    final List<Long> calledOff = new ArrayList<>();
-    private final List<Sent> out = new ArrayList<>();
-    private final Map<Sent, Long> due = new HashMap<>();
+    public final List<FinalAnswer> answers = new ArrayList<>();
+    public final List<RejectionReason> rejectionReasons = new ArrayList<>();
+    final List<Long> cancelled = new ArrayList<>();
+    private final List<SentAttempt> out = new ArrayList<>();
+    private final Map<SentAttempt, Long> due = new HashMap<>();
     private final Map<Long, Integer> attempts = new HashMap<>();
     int subscriptions;
     public long now = 1_000_000;
-    long nextTx = 1;
-    public final LoadBalancer balance;
+    long nextTransactionId = 1;
+    public final LoadBalancer loadBalancer;
 
     /** Profiles 0 idempotent, 1 journalled, 2 non-idempotent; goal 0.5 s, deadline 1 s; and further settings. */
     public PolicyHarness(Group group, int maxAttempts, String... further) {
@@ -73,32 +93,32 @@
                     + at + "group=" + group.name().toLowerCase(Locale.ROOT) + "\n" + at + "dedup_window=2000\n");
         }
         settings.append(String.join("\n", further));
-        balance = new LoadBalancer(
+        loadBalancer = new LoadBalancer(
                 PolicySettingsReader.ofLines(settings.toString()).terms(), seed, this, lease);
-        balance.start(now);
+        loadBalancer.start(now);
     }
 
     public PolicyHarness(String... further) {
         this(Group.CELL, 3, further);
     }
 
-    /** Servers in two zones and five cells of two, all in the state and with the start given. */
+    /** Endpoints in two zones and five cells of two, all in the state and with the start given. */
     public PolicyHarness fleet(State state, long launched) {
         for (int i = 0; i < 10; i++) {
-            list(100 + i, state, launched);
+            update(100 + i, state, launched);
         }
         return this;
     }
 
-    public void list(long id, State state, long launched) {
+    public void update(long id, State state, long launched) {
         int cell = (int) (id - 100) / 2;
-        balance.onEndpointUpdates(
+        loadBalancer.onEndpointUpdates(
                 now, List.of(new EndpointUpdate(id, (int) id % 2, 0, cell, state, 1, launched)), false, false);
     }
 
     public long arrive(int profile) {
-        balance.onArrival(now, nextTx, profile, 0, 0, 10_000, 0);
-        return nextTx++;
+        loadBalancer.onArrival(now, nextTransactionId, profile, 0, 0, 10_000, 0);
+        return nextTransactionId++;
     }
 
     /** When an attempt was sent, by its place among all. */
@@ -106,80 +126,83 @@
         return place < sentAt.size() ? sentAt.get(place) : Long.MAX_VALUE;
     }
 
-    public Sent last() {
+    public SentAttempt last() {
         return sent.get(sent.size() - 1);
     }
 
-    public void end(Sent attempt, AttemptOutcome outcome, long took) {
-        balance.onAttemptEnded(
-                now, attempt.tx(), attempt.attempt(), outcome, took, outcome == AttemptOutcome.COMMITTED);
+    public void end(SentAttempt attempt, AttemptOutcome outcome, long took) {
+        loadBalancer.onAttemptEnded(
+                now, attempt.transactionId(), attempt.number(), outcome, took, outcome == AttemptOutcome.COMMITTED);
     }
 
-    public void pass(long span) {
+    public void advance(long span) {
         for (long end = now + span; now < end; ) {
             now += 100;
-            balance.onTick(now);
+            loadBalancer.onTick(now);
         }
     }
 
     /**
-     * Sends steady idempotent traffic, one every 2 ms; a server takes 20 ms, the odd one what {@code oddTook} says with
-     * {@code oddOutcome}, or never answers if that is null. Returns how many attempts the odd one got.
+     * Sends steady idempotent traffic, one every 2 ms; an endpoint takes 20 ms, the outlier what
+     * {@code outlierTookTicks} says with {@code outlierOutcome}, or never answers if that is null. Returns how many
+     * attempts the outlier one got.
      */
-    public int traffic(long span, long odd, AttemptOutcome oddOutcome, long oddTook) {
+    public int traffic(long span, long outlier, AttemptOutcome outlierOutcome, long outlierTookTicks) {
         int first = sent.size();
         for (long end = now + span; now < end; ) {
             now += 20;
             if (now % 100 == 0) {
-                balance.onTick(now);
+                loadBalancer.onTick(now);
             }
             int before = sent.size();
             arrive(0);
             for (int i = before; i < sent.size(); i++) {
-                boolean isOdd = sent.get(i).server() == odd;
-                if (!isOdd || oddOutcome != null) {
-                    due.put(sent.get(i), now + (isOdd ? oddTook : 200));
+                boolean atOutlier = sent.get(i).endpointId() == outlier;
+                if (!atOutlier || outlierOutcome != null) {
+                    due.put(sent.get(i), now + (atOutlier ? outlierTookTicks : 200));
                     out.add(sent.get(i));
                 }
             }
-            for (Sent each : List.copyOf(out)) {
+            for (SentAttempt each : List.copyOf(out)) {
                 if (due.get(each) <= now) {
                     out.remove(each);
-                    boolean isOdd = each.server() == odd;
-                    AttemptOutcome outcome = isOdd ? oddOutcome : AttemptOutcome.COMMITTED;
+                    boolean atOutlier = each.endpointId() == outlier;
+                    AttemptOutcome outcome = atOutlier ? outlierOutcome : AttemptOutcome.COMMITTED;
                     if (outcome != null) {
-                        end(each, outcome, isOdd ? oddTook : 200);
+                        end(each, outcome, atOutlier ? outlierTookTicks : 200);
                     }
                 }
             }
         }
-        return (int) sent.stream().skip(first).filter(s -> s.server() == odd).count();
+        return (int)
+                sent.stream().skip(first).filter(s -> s.endpointId() == outlier).count();
     }
 
     @Override
-    public void send(long tx, long endpoint, long timeout, long writtenBefore) {
+    public void send(long transactionId, long endpointId, long timeoutTicks, long writeBefore) {
         sentAt.add(now);
-        sent.add(new Sent(tx, endpoint, timeout, attempts.merge(tx, 1, Integer::sum) - 1));
+        sent.add(new SentAttempt(
+                transactionId, endpointId, timeoutTicks, attempts.merge(transactionId, 1, Integer::sum) - 1));
     }
 
     @Override
-    public void cancel(long tx, int attempt) {
-        calledOff.add(tx);
+    public void cancel(long transactionId, int attempt) {
+        cancelled.add(transactionId);
     }
 
     @Override
-    public void rollBack(long tx, long pause, RejectionReason why) {
-        answers.add("rolled back " + tx);
-        refusals.add(why);
+    public void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason) {
+        answers.add(FinalAnswer.rolledBack(transactionId));
+        rejectionReasons.add(reason);
     }
 
     @Override
-    public void abandon(long tx, RejectionReason why) {
-        answers.add("abandoned " + tx);
+    public void abandon(long transactionId, RejectionReason reason) {
+        answers.add(FinalAnswer.abandoned(transactionId));
     }
 
     @Override
-    public void scheduleTick(long span) {}
+    public void scheduleTick(long delayTicks) {}
 
     @Override
     public void subscribe() {
--- /dev/null
+++ b/sidecar/src/test/java/trestlegrade/policy/RetryPolicyTest.java
@@ -0,0 +1,108 @@
+package trestlegrade.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import trestlegrade.policy.PolicyHarness.FinalAnswer;
+import trestlegrade.policy.PolicyHarness.SentAttempt;
+import trestlegrade.policy.endpoint.EndpointUpdate.State;
+import trestlegrade.policy.request.AttemptOutcome;
+import trestlegrade.policy.settings.PolicySettings.Group;
+
+/** Rule 2: what may be sent again, and what the client may be told. */
+class RetryPolicyTest {
+
+    /** After one attempt has ended so: sent again anywhere, within the group, or ended how. */
+    @ParameterizedTest
+    @CsvSource({
+        "0, CELL, ERROR,         again",
+        "0, CELL, NO_CONNECTION, again",
+        "0, CELL, TURNED_AWAY,   again",
+        "0, CELL, BROKEN,        again",
+        "1, CELL, ERROR,         group",
+        "1, ZONE, BROKEN,        group",
+        "1, ALL,  BROKEN,        again",
+        "1, CELL, NO_CONNECTION, again",
+        "2, CELL, ERROR,         abandoned",
+        "2, ALL,  BROKEN,        abandoned",
+        "2, CELL, TIMED_OUT,     abandoned",
+        "2, CELL, CALLED_OFF,    abandoned",
+        "2, CELL, NO_CONNECTION, again",
+        "2, CELL, NOT_SENT,      again",
+    })
+    void retryGoesOnlyWhereTheProfileAllows(int profile, Group group, AttemptOutcome outcome, String expected) {
+        for (int round = 0; round < 20; round++) {
+            PolicyHarness harness = new PolicyHarness(group, 3).fleet(State.READY, 0);
+            long id = harness.arrive(profile);
+            SentAttempt first = harness.last();
+            harness.now += 100;
+            harness.end(first, outcome, 100);
+            if (expected.equals("abandoned")) {
+                assertEquals(List.of(FinalAnswer.abandoned(id)), harness.answers);
+                assertEquals(1, harness.sent.size());
+                continue;
+            }
+            assertEquals(2, harness.sent.size());
+            assertEquals(List.of(), harness.answers);
+            if (expected.equals("group")) {
+                long again = harness.last().endpointId();
+                assertTrue(
+                        group == Group.CELL
+                                ? (first.endpointId() - 100) / 2 == (again - 100) / 2
+                                : first.endpointId() % 2 == again % 2);
+            }
+        }
+    }
+
+    /** A journalled transaction that may have run is neither resent past its window nor rolled back. */
+    @Test
+    void windowCountsFromTheFirstAttemptThatMayHaveRun() {
+        PolicyHarness harness = new PolicyHarness(Group.CELL, 3).fleet(State.READY, 0);
+        harness.loadBalancer.onArrival(harness.now, 9, 1, 0, 0, 100_000, 0);
+        harness.now += 19_500;
+        harness.end(harness.last(), AttemptOutcome.BROKEN, 19_500);
+        assertEquals(1, harness.sent.size());
+        assertEquals(List.of(FinalAnswer.abandoned(9)), harness.answers);
+    }
+
+    /** A lost attempt is cancelled, and only its end brings a retry: there are never two in flight at once. */
+    @ParameterizedTest
+    @CsvSource({"0, true, 2", "1, true, 2", "2, true, 1", "0, false, 1"})
+    void lostAttemptIsCancelledBeforeItsRetry(int profile, boolean cancelling, int attempts) {
+        PolicyHarness harness =
+                new PolicyHarness(Group.ALL, 3, "ceilings.cancelling=" + cancelling).fleet(State.READY, 0);
+        harness.traffic(20_000, -1, null, 0);
+        List.copyOf(harness.sent).forEach(attempt -> harness.end(attempt, AttemptOutcome.COMMITTED, 200));
+        int before = harness.sent.size();
+        harness.loadBalancer.onArrival(harness.now, 99_999, profile, 0, 0, 20_000, 0);
+        harness.advance(12_500);
+        assertEquals(before + 1, harness.sent.size());
+        assertEquals(attempts > 1, harness.cancelled.contains(99_999L));
+        if (attempts > 1) {
+            harness.end(harness.last(), AttemptOutcome.CALLED_OFF, 12_500);
+        }
+        harness.advance(1_000);
+        assertEquals(before + attempts, harness.sent.size());
+    }
+
+    /** What a sidecar that has just started learnt first was a light one: heavier ones still go further. */
+    @Test
+    void oneCheapTransactionIsNoMeasureOfOthers() {
+        PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
+        long[] costs = {50, 1_000, 1_000, 1_000, 1_300};
+        for (int i = 0; i < costs.length; i++) {
+            harness.loadBalancer.onArrival(harness.now, i + 1, 0, 0, 0, 10_000, costs[i]);
+            harness.advance(200);
+            harness.end(
+                    harness.last(),
+                    i == costs.length - 1 ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.COMMITTED,
+                    200);
+        }
+        assertEquals(costs.length + 1, harness.sent.size());
+        assertEquals(List.of(), harness.answers);
+    }
+}
--- a/sidecar/src/test/java/trestlegrade/policy/SlowStartFleetTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/SlowStartFleetTest.java
@@ -63,15 +63,15 @@
         now = end;
     }
 
-    private double warmth(long server) {
-        return Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - launched.getOrDefault(server, -COLD)) / COLD);
+    private double slowStartFraction(long endpoint) {
+        return Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - launched.getOrDefault(endpoint, -COLD)) / COLD);
     }
 
     private final class Sidecar implements PolicyActions {
         private final int number;
         private final int sidecars;
         private final double rate;
-        private LoadBalancer balance;
+        private LoadBalancer loadBalancer;
         private long nextTx = 1;
         private final Map<Long, Integer> attempts = new HashMap<>();
 
@@ -85,7 +85,7 @@
 
         /** A process that knows nothing of one before it under its name. */
         private void start() {
-            balance = new LoadBalancer(
+            loadBalancer = new LoadBalancer(
                     PolicySettingsReader.ofLines("n_instances=" + sidecars + "\nmy_number=" + number + """
 
                     ceilings.cancelling=true
@@ -102,25 +102,25 @@
                             .terms(),
                     random.nextLong(),
                     this);
-            balance.start(now);
+            loadBalancer.start(now);
         }
 
         void restart(List<EndpointUpdate> rows) {
             start();
-            balance.onEndpointUpdates(now, rows, true, true);
+            loadBalancer.onEndpointUpdates(now, rows, true, true);
         }
 
         private void arrive() {
-            balance.onArrival(now, nextTx++, 0, 0, 0, 15_000, 0);
+            loadBalancer.onArrival(now, nextTx++, 0, 0, 0, 15_000, 0);
             in(-Math.log(1 - random.nextDouble()) * SECOND / (rate * busier), this::arrive);
         }
 
         @Override
-        public void send(long tx, long server, long timeout, long writtenBefore) {
+        public void send(long tx, long endpoint, long timeout, long writtenBefore) {
             int attempt = attempts.merge(tx, 1, Integer::sum) - 1;
-            count(server);
-            double took = WORK * (0.5 + random.nextDouble()) / warmth(server);
-            LoadBalancer sender = balance;
+            count(endpoint);
+            double took = WORK * (0.5 + random.nextDouble()) / slowStartFraction(endpoint);
+            LoadBalancer sender = loadBalancer;
             in(took, () -> sender.onAttemptEnded(now, tx, attempt, AttemptOutcome.COMMITTED, (long) took, true));
         }
 
@@ -135,7 +135,7 @@
 
         @Override
         public void scheduleTick(long span) {
-            LoadBalancer woken = balance;
+            LoadBalancer woken = loadBalancer;
             in((double) span, () -> woken.onTick(now));
         }
 
@@ -145,21 +145,21 @@
 
     private double busier = 1;
 
-    private void count(long server) {
-        if (!launched.containsKey(server)) {
+    private void count(long endpoint) {
+        if (!launched.containsKey(endpoint)) {
             return;
         }
-        Deque<Long> lately = got.computeIfAbsent(server, s -> new ArrayDeque<>());
+        Deque<Long> lately = got.computeIfAbsent(endpoint, s -> new ArrayDeque<>());
         lately.addLast(now);
         while (lately.peekFirst() <= now - FALL) {
             lately.removeFirst();
         }
-        double allowed = MULTIPLE * warmth(server) * cores * FALL / WORK;
+        double allowed = MULTIPLE * slowStartFraction(endpoint) * cores * FALL / WORK;
         double part = lately.size() / (allowed + 2 * Math.sqrt(allowed) + 2);
         if (part > most) {
             most = part;
             worst = "%d in the time in which %.1f are allowed, %d ms after the start"
-                    .formatted(lately.size(), allowed, (now - launched.get(server)) / 10);
+                    .formatted(lately.size(), allowed, (now - launched.get(endpoint)) / 10);
         }
     }
 
@@ -244,7 +244,7 @@
         };
         if (known) {
             start.run();
-            fleet.forEach(each -> each.balance.onEndpointUpdates(now, rows, true, true));
+            fleet.forEach(each -> each.loadBalancer.onEndpointUpdates(now, rows, true, true));
             pass(12 * SECOND);
         }
         for (int i = 0; i < cold; i++) {
@@ -255,7 +255,8 @@
         if (!known) {
             start.run();
         }
-        fleet.forEach(each -> in(random.nextInt(5_000), () -> each.balance.onEndpointUpdates(now, rows, true, !known)));
+        fleet.forEach(
+                each -> in(random.nextInt(5_000), () -> each.loadBalancer.onEndpointUpdates(now, rows, true, !known)));
         pass(3 * SECOND);
         fleet.stream()
                 .filter(each -> random.nextDouble() < restarted)
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -110,7 +110,7 @@
 
     /** Every sidecar's watch on the list ends, and calls of discovery fail until it recovers. */
     void failWatches() {
-        sidecars.forEach(each -> each.balance.onEndpointListFailed(now));
+        sidecars.forEach(each -> each.loadBalancer.onEndpointListFailed(now));
     }
 
     void restartSidecar(int index) {
@@ -118,7 +118,7 @@
     }
 
     void endSidecarsBy(long span) {
-        sidecars.forEach(each -> each.balance.shutDownBy(now + span));
+        sidecars.forEach(each -> each.loadBalancer.shutDownBy(now + span));
     }
 
     /** Every endpoint and discovery are well again. */
@@ -239,7 +239,7 @@
     private final class Sidecar implements PolicyActions {
         private final int number;
         private final EndpointListLease lease = new EndpointListLease(now, GRACE);
-        private LoadBalancer balance;
+        private LoadBalancer loadBalancer;
         private long nextTransaction = 1;
         private long toldVersion = -1;
         private int generation;
@@ -255,9 +255,9 @@
         void start(long seed, boolean again) {
             generation++;
             out.clear();
-            balance = new LoadBalancer(
+            loadBalancer = new LoadBalancer(
                     PolicySettingsReader.ofLines(scenario.settings(number)).terms(), seed, this, lease);
-            balance.start(now);
+            loadBalancer.start(now);
             list(again);
         }
 
@@ -265,7 +265,7 @@
             toldVersion = listVersion;
             List<EndpointUpdate> rows = endpoints.stream().map(Endpoint::row).toList();
             boolean whole = random.nextInt(5) != 0;
-            balance.onEndpointUpdates(now, rows, whole, old);
+            loadBalancer.onEndpointUpdates(now, rows, whole, old);
         }
 
         private void arrive(boolean again) {
@@ -277,9 +277,9 @@
             long patience = (300 + random.nextInt(700)) * MILLISECOND;
             long cost = random.nextInt(4) == 0 ? 0 : 500 + random.nextInt(1_000);
             profiles.put(id, profile);
-            balance.onArrival(now, id, profile, customer, key, patience, cost);
+            loadBalancer.onArrival(now, id, profile, customer, key, patience, cost);
             if (random.nextInt(100) == 0) {
-                LoadBalancer taker = balance;
+                LoadBalancer taker = loadBalancer;
                 after(random.nextInt(100) * MILLISECOND, () -> taker.onClientDisconnected(now, id));
             }
             if (again) {
@@ -292,7 +292,7 @@
         public void send(long tx, long endpoint, long timeout, long writtenBefore) {
             record(1, tx, endpoint, timeout, writtenBefore);
             int attempt = attempts.merge(tx, 1, Integer::sum) - 1;
-            Sent sent = new Sent(tx, attempt, byId(endpoint), balance);
+            Sent sent = new Sent(tx, attempt, byId(endpoint), loadBalancer);
             out.computeIfAbsent(tx, t -> new ArrayList<>(2)).add(sent);
             begin(sent, timeout, writtenBefore);
         }
@@ -331,13 +331,13 @@
 
         private void finish(Sent sent, AttemptOutcome outcome, long took) {
             List<Sent> open = out.get(sent.transaction());
-            if (sent.by() != balance || open == null || !open.remove(sent)) {
+            if (sent.by() != loadBalancer || open == null || !open.remove(sent)) {
                 return;
             }
             if (sent.endpoint() != null && sent.endpoint().inFlight > 0) {
                 sent.endpoint().inFlight--;
             }
-            balance.onAttemptEnded(
+            loadBalancer.onAttemptEnded(
                     now, sent.transaction(), sent.attempt(), outcome, took, outcome == AttemptOutcome.COMMITTED);
         }
 
@@ -367,7 +367,7 @@
         @Override
         public void scheduleTick(long span) {
             record(5, span, 0, 0, 0);
-            LoadBalancer woken = balance;
+            LoadBalancer woken = loadBalancer;
             after(span, () -> woken.onTick(now));
         }
 
@@ -379,7 +379,7 @@
                     lease.renew(now);
                     list(false);
                 } else {
-                    balance.onEndpointListFailed(now);
+                    loadBalancer.onEndpointListFailed(now);
                 }
             });
         }
