--- a/sidecar/src/main/java/trestlegrade/policy/TransactionCloser.java
+++ b/sidecar/src/main/java/trestlegrade/policy/TransactionCloser.java
@@ -49,12 +49,8 @@
             return;
         }
         transaction.markAnswered();
-        if (settings.cancelling()) {
-            for (int i = 0; i < transaction.attempts().size(); i++) {
-                if (transaction.attempts().get(i).inFlight()) {
-                    actions.cancel(transaction.id(), i);
-                }
-            }
+        if (settings.cancelling() && transaction.attemptsInFlight() > 0) {
+            cancelLastAttempt(transaction);
         }
         transactions.removeIfOver(transaction);
     }
@@ -73,10 +69,14 @@
     }
 
     private void cancelIfLost(long now, Transaction transaction) {
-        if (transaction.attemptsInFlight() == 1
+        if (transaction.attemptsInFlight() > 0
                 && !transaction.isStreaming()
                 && deadlinePolicy.isLost(now, transaction)) {
-            actions.cancel(transaction.id(), transaction.attempts().size() - 1);
+            cancelLastAttempt(transaction);
         }
     }
+
+    private void cancelLastAttempt(Transaction transaction) {
+        actions.cancel(transaction.id(), transaction.attempts().size() - 1);
+    }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/CallStatistics.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/CallStatistics.java
@@ -93,6 +93,10 @@
 
     /** The share of a profile's attempts that fail here, 0 to 1; it halves while nothing is learnt. */
     public double profileFailureShare(long now, int profile) {
+        if (profileFailureShare[profile] == 0) {
+            // Most endpoints fail nothing, and every pick asks.
+            return 0;
+        }
         return profileFailureShare[profile]
                 * Math.pow(0.5, (now - profileUpdatedAt[profile]) / PROFILE_FAILURE_HALF_LIFE);
     }
--- a/sidecar/src/main/java/trestlegrade/policy/health/SilenceDetector.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/SilenceDetector.java
@@ -46,12 +46,8 @@
         observed.forEach(endpoint -> endpoint.silence().clear());
         observed.clear();
         for (Transaction transaction : open) {
-            if (!transaction.isStreaming()) {
-                for (Attempt attempt : transaction.attempts()) {
-                    if (attempt.inFlight()) {
-                        measure(now, attempt, recentMeanTicks);
-                    }
-                }
+            if (transaction.attemptsInFlight() > 0 && !transaction.isStreaming()) {
+                measure(now, transaction.lastAttempt(), recentMeanTicks);
             }
         }
     }
--- a/sidecar/src/main/java/trestlegrade/policy/request/Transaction.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/Transaction.java
@@ -6,7 +6,7 @@
 
 /**
  * One transaction from its arrival until its last attempt has ended. Times are ticks of 0.1 ms; at most one attempt is
- * in flight.
+ * in flight, and that is the last one.
  */
 public final class Transaction {
     /** The key position of a transaction without a key. */
