--- a/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
@@ -48,7 +48,7 @@
         assertTrue(dropped >= least && dropped <= most, dropped + " rolled back");
     }
 
-    /** Incident ic8467a: attempts stuck at one endpoint are no sign that all endpoints are overloaded. */
+    /** Attempts stuck at one endpoint are no sign that all endpoints are overloaded. */
     @Test
     void attemptsStuckAtOneEndpointShedNothing() {
         PolicyHarness harness = new PolicyHarness(Group.ALL, 3).fleet(State.READY, 0);
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -78,8 +78,6 @@
         return decisions + " " + HexFormat.of().formatHex(digest.digest()).substring(0, 32);
     }
 
-    // -------------------------------------------------- faults
-
     /** The fault of a calm day. */
     void leaveAlone() {}
 
@@ -231,8 +229,6 @@
         });
     }
 
-    // -------------------------------------------------- one sidecar
-
     private record Sent(long transaction, int attempt, Endpoint endpoint, LoadBalancer by) {}
 
     /** One sidecar: its decisions, and what it asks of the world. */
