--- a/lab/src/main/java/trestlegrade/lab/soak/Acceptor.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Acceptor.java
@@ -15,14 +15,14 @@
         void handle(Socket connection) throws IOException, InterruptedException;
     }
 
-    private final Background background;
+    private final BackgroundTasks background;
     private final String name;
     private final Handler handler;
     private final int port;
     private volatile ServerSocket listener;
 
     /** On a port that the system chooses. */
-    Acceptor(Background background, String name, Handler handler) throws IOException {
+    Acceptor(BackgroundTasks background, String name, Handler handler) throws IOException {
         this.background = background;
         this.name = name;
         this.handler = handler;
--- a/lab/src/main/java/trestlegrade/lab/soak/Rule.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/AuditRule.java
@@ -1,7 +1,7 @@
 package trestlegrade.lab.soak;
 
 /** What each request and each process of a run is held to. */
-public enum Rule {
+public enum AuditRule {
     /** One whole final answer, half a second behind the deadline at the latest. */
     ANSWER,
     /** An answer is one that a server gave for this request. */
--- a/lab/src/main/java/trestlegrade/lab/soak/Auditor.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Auditor.java
@@ -20,7 +20,7 @@
     private static final long SLACK = TimeUnit.MILLISECONDS.toNanos(50);
 
     private static final long DEADLINE_SLACK = TimeUnit.MILLISECONDS.toNanos(150);
-    private static final long GRACE = TimeUnit.MILLISECONDS.toNanos(Settings.DRAIN_GRACE);
+    private static final long GRACE = TimeUnit.MILLISECONDS.toNanos(SoakSettings.DRAIN_GRACE);
     private static final long TOLD_AFTER = TimeUnit.SECONDS.toNanos(6);
     private static final long HALF_REQUEST_HELD = TimeUnit.MILLISECONDS.toNanos(3_500);
     /** Shorter pauses of a process excuse nothing. */
@@ -50,7 +50,7 @@
     private final TreeMap<Long, Long> machineLate = new TreeMap<>();
     private final List<Event> discovery = new ArrayList<>();
     private final Map<String, List<Event.ProcessStarted>> starts = new HashMap<>();
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<RuleBreach> breaches = new ArrayList<>();
     private final long begun;
 
     Auditor(List<Event> events) {
@@ -92,7 +92,7 @@
         }
     }
 
-    List<Breach> audit() {
+    List<RuleBreach> audit() {
         requests.forEach((id, request) -> {
             if (request.sent != null) {
                 answered(id, request);
@@ -126,29 +126,29 @@
                 ended = true;
             } else if (event instanceof Event.NoAnswer) {
                 ended = true;
-                breach(Rule.ANSWER, id, request, "no answer", excused(request, "paused", "killed"));
+                breach(AuditRule.ANSWER, id, request, "no answer", excused(request, "paused", "killed"));
             } else if (event instanceof Event.AnswerBroken broken) {
                 ended = true;
-                breach(Rule.ANSWER, id, request, "broken answer: " + broken.cause(), excused(request, "killed"));
+                breach(AuditRule.ANSWER, id, request, "broken answer: " + broken.cause(), excused(request, "killed"));
             } else if (event instanceof Event.ConnectionLost lost) {
                 ended = true;
                 boolean crossed = sent.reused() && request.attempts.isEmpty();
                 boolean unread = request.attempts.isEmpty() && excused(request, "crowd");
                 breach(
-                        Rule.ANSWER,
+                        AuditRule.ANSWER,
                         id,
                         request,
                         "connection ended with no answer: " + lost.cause(),
                         crossed || unread || excused(request, "paused", "killed"));
             }
         }
-        breach(Rule.ANSWER, id, request, "nothing seen of its end", ended);
+        breach(AuditRule.ANSWER, id, request, "nothing seen of its end", ended);
     }
 
     private void answer(String id, Request request, Event.AnswerRead answer) {
         long late = answer.at() - request.sent.deadline();
         breach(
-                Rule.ANSWER,
+                AuditRule.ANSWER,
                 id,
                 request,
                 "answered " + milliseconds(late) + " ms behind its deadline",
@@ -156,11 +156,11 @@
                         || excused(request, "paused", "killed"));
         if (answer.status() == 200) {
             boolean own = request.runs.stream().anyMatch(run -> answer.body().equals(id + "|" + run.server()));
-            breach(Rule.FOREIGN_ANSWER, id, request, "answered by '" + shortened(answer.body()) + "'", own);
+            breach(AuditRule.FOREIGN_ANSWER, id, request, "answered by '" + shortened(answer.body()) + "'", own);
         }
         boolean refused = answer.status() == 503 || answer.status() == 429;
         breach(
-                Rule.REFUSED_AFTER_RUN,
+                AuditRule.REFUSED_AFTER_RUN,
                 id,
                 request,
                 "refused, and had run",
@@ -175,20 +175,20 @@
         for (Event.AttemptSeen attempt : request.attempts) {
             long allowance = allowance(request.sent.sidecar(), attempt.at());
             breach(
-                    Rule.SENT_AFTER_ANSWER,
+                    AuditRule.SENT_AFTER_ANSWER,
                     id,
                     request,
                     "sent " + milliseconds(attempt.at() - answered) + " ms after its answer",
                     attempt.at() - answered <= SLACK + allowance);
             breach(
-                    Rule.SENT_AFTER_CLOSE,
+                    AuditRule.SENT_AFTER_CLOSE,
                     id,
                     request,
                     "sent " + milliseconds(attempt.at() - closed) + " ms after its client",
                     attempt.at() - closed <= SENT_AFTER_CLOSE + allowance);
             long left = request.sent.deadline() - attempt.at();
             breach(
-                    Rule.DEADLINE_TOLD,
+                    AuditRule.DEADLINE_TOLD,
                     id,
                     request,
                     "told " + milliseconds(attempt.told()) + " ms with " + milliseconds(left) + " ms left",
@@ -200,7 +200,7 @@
     private void drained(String id, Request request, Event.AttemptSeen attempt, long allowance) {
         long told = told(request.sent.sidecar(), attempt.server(), attempt.at());
         breach(
-                Rule.DRAIN,
+                AuditRule.DRAIN,
                 id,
                 request,
                 "sent " + milliseconds(attempt.at() - told) + " ms after word that " + attempt.server() + " leaves",
@@ -254,7 +254,7 @@
 
     private void ran(String id, Request request) {
         breach(
-                Rule.DUPLICATE,
+                AuditRule.DUPLICATE,
                 id,
                 request,
                 "ran " + request.runs.size() + " times",
@@ -267,13 +267,13 @@
         for (Event event : events) {
             if (event instanceof Event.ProcessEnded ended) {
                 boolean fine = ended.asked() && (ended.exitCode() == 0 || ended.exitCode() == KILLED);
-                processBreach(Rule.PROCESS, ended.sidecar(), "ended with status " + ended.exitCode(), fine, event);
+                processBreach(AuditRule.PROCESS, ended.sidecar(), "ended with status " + ended.exitCode(), fine, event);
             } else if (event instanceof Event.NeverReady never) {
-                processBreach(Rule.PROCESS, never.sidecar(), "not ready in time", false, event);
+                processBreach(AuditRule.PROCESS, never.sidecar(), "not ready in time", false, event);
             } else if (event instanceof Event.HalfRequestEnded half) {
                 boolean excused = overlaps(half.sidecar(), half.at() - half.held(), half.at(), "paused", "killed");
                 processBreach(
-                        Rule.HALF_REQUEST,
+                        AuditRule.HALF_REQUEST,
                         half.sidecar(),
                         "held half a request for " + milliseconds(half.held()) + " ms",
                         excused || half.held() <= HALF_REQUEST_HELD + allowance(half.sidecar(), half.at()),
@@ -282,17 +282,17 @@
         }
     }
 
-    private void processBreach(Rule rule, String sidecar, String what, boolean fine, Event event) {
+    private void processBreach(AuditRule rule, String sidecar, String what, boolean fine, Event event) {
         if (!fine) {
-            breaches.add(new Breach(rule, sidecar, what, List.of(line(event))));
+            breaches.add(new RuleBreach(rule, sidecar, what, List.of(line(event))));
         }
     }
 
     // -------------------------------------------------- what is allowed
 
-    private void breach(Rule rule, String id, Request request, String what, boolean fine) {
+    private void breach(AuditRule rule, String id, Request request, String what, boolean fine) {
         if (!fine) {
-            breaches.add(new Breach(rule, id, what, story(request)));
+            breaches.add(new RuleBreach(rule, id, what, story(request)));
         }
     }
 
--- a/lab/src/main/java/trestlegrade/lab/soak/Background.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/BackgroundTasks.java
@@ -7,7 +7,7 @@
 import org.tinylog.Logger;
 
 /** The threads of one run. A task ends when it returns, when its socket is closed, or with the run. */
-final class Background implements AutoCloseable {
+final class BackgroundTasks implements AutoCloseable {
     private static final long STACK_BYTES = 256 << 10;
 
     /** Work that waits on sockets or sleeps. */
--- a/lab/src/main/java/trestlegrade/lab/soak/ByteTimes.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/ByteArrivalTimes.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 
 /** When the bytes of a stream came, kept for the latest part of it. */
-final class ByteTimes {
+final class ByteArrivalTimes {
     private static final int KEPT = 256;
 
     /** The place behind the last byte of each chunk, and the chunk's time. */
--- a/lab/src/main/java/trestlegrade/lab/soak/Application.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/ClientApplication.java
@@ -15,7 +15,7 @@
  * One client of a sidecar, with one connection at a time: mostly as the protocol says, at times impatient, slow, idle
  * for long, ahead of its answers, or stuck in the midst of a request.
  */
-final class Application {
+final class ClientApplication {
     /** How long behind its deadline a client still listens, to tell a late answer from none. */
     private static final int LISTENS_ON_MILLISECONDS = 1_500;
 
@@ -30,7 +30,7 @@
     private static final AtomicLong IDS = new AtomicLong();
 
     private final SidecarProcess sidecar;
-    private final Recorder recorder;
+    private final EventRecorder recorder;
     private final UniformRandomProvider random;
     private Socket socket;
     private HttpMessage.Reader reader;
@@ -41,7 +41,7 @@
     /** A request that was written. */
     private record Open(String id, long deadline) {}
 
-    Application(SidecarProcess sidecar, Recorder recorder, UniformRandomProvider random) {
+    ClientApplication(SidecarProcess sidecar, EventRecorder recorder, UniformRandomProvider random) {
         this.sidecar = sidecar;
         this.recorder = recorder;
         this.random = random;
@@ -102,7 +102,7 @@
         boolean repeatable = random.nextInt(10) < 7;
         reused |= System.nanoTime() - connected > RESTED_NANOSECONDS;
         String id = "r" + IDS.incrementAndGet();
-        int patience = Settings.SHORTEST_DEADLINE + random.nextInt(repeatable ? 1_200 : 2_600);
+        int patience = SoakSettings.SHORTEST_DEADLINE + random.nextInt(repeatable ? 1_200 : 2_600);
         int length = repeatable ? 0 : random.nextInt(20) == 0 ? LONG_BODY : random.nextInt(300);
         byte[] bytes = ((repeatable ? "GET /read" : "POST /write") + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + id
                         + "\r\nX-Qos: "
--- a/lab/src/main/java/trestlegrade/lab/soak/Recorder.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/EventRecorder.java
@@ -7,7 +7,7 @@
 import trestlegrade.lab.MachineLateness;
 
 /** Collects events from all threads of a run. */
-final class Recorder {
+final class EventRecorder {
     /** Later than this a sleeping thread is on a busy machine alone. */
     private static final long USUAL_LATENESS = 5_000_000;
 
@@ -25,7 +25,7 @@
     }
 
     /** Notes when the machine stands still, until the run ends. */
-    void watchMachine(Background background) {
+    void watchMachine(BackgroundTasks background) {
         background.run(
                 "machine-lateness",
                 () -> MachineLateness.watch(
--- a/lab/src/main/java/trestlegrade/lab/soak/Plan.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/FaultPlan.java
@@ -7,7 +7,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** All that is drawn for a run: the same for the same seed, length and sizes. */
-record Plan(long seed, int milliseconds, int sidecars, int servers, List<Fault> faults) {
+record FaultPlan(long seed, int milliseconds, int sidecars, int servers, List<Fault> faults) {
     /** Nothing begins sooner: all sidecars have been up for a while. */
     private static final int QUIET_BEFORE = 1_500;
     /** Nothing begins later before the end: what it does is seen. */
@@ -28,7 +28,7 @@
 
     private static final int LONGEST_PAUSE = 6_000;
 
-    static Plan draw(long seed, int milliseconds, int sidecars, int servers) {
+    static FaultPlan draw(long seed, int milliseconds, int sidecars, int servers) {
         UniformRandomProvider random = random(seed, "faults");
         List<Fault> faults = new ArrayList<>();
         int span = Math.max(1, milliseconds - QUIET_BEFORE - QUIET_AFTER);
@@ -38,7 +38,7 @@
             faults.add(fault(random, start, sidecars, servers));
         }
         faults.sort(Comparator.comparingInt(Fault::start));
-        return new Plan(seed, milliseconds, sidecars, servers, List.copyOf(faults));
+        return new FaultPlan(seed, milliseconds, sidecars, servers, List.copyOf(faults));
     }
 
     private static Fault fault(UniformRandomProvider random, int start, int sidecars, int servers) {
@@ -74,7 +74,7 @@
     }
 
     /** With these faults alone. */
-    Plan with(List<Fault> fewer) {
-        return new Plan(seed, milliseconds, sidecars, servers, List.copyOf(fewer));
+    FaultPlan with(List<Fault> fewer) {
+        return new FaultPlan(seed, milliseconds, sidecars, servers, List.copyOf(fewer));
     }
 }
--- a/lab/src/main/java/trestlegrade/lab/soak/FaultProxy.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/FaultProxy.java
@@ -14,7 +14,7 @@
     private static final int CHUNK = 16 << 10;
     private static final int PIECE = 7;
 
-    private final Background background;
+    private final BackgroundTasks background;
     private final int target;
     private final Acceptor acceptor;
     /**
@@ -29,7 +29,7 @@
     private volatile int resetEvery;
     private int chunks;
 
-    FaultProxy(Background background, int target) throws IOException {
+    FaultProxy(BackgroundTasks background, int target) throws IOException {
         this.background = background;
         this.target = target;
         acceptor = new Acceptor(background, "relay", this::relay);
@@ -39,7 +39,7 @@
     static final class Link {
         private final Socket near;
         private final Socket far;
-        private final ByteTimes sent = new ByteTimes();
+        private final ByteArrivalTimes sent = new ByteArrivalTimes();
         private volatile boolean closed;
 
         private Link(Socket near, Socket far) {
--- a/lab/src/main/java/trestlegrade/lab/soak/Shrinker.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Shrinker.java
@@ -8,22 +8,22 @@
 /** Finds fewer faults of a plan that still break the same rule, by leaving out halves, quarters and so on. */
 final class Shrinker {
     private final Path program;
-    private final Rule rule;
+    private final AuditRule rule;
     private int playsLeft;
 
-    Shrinker(Path program, Rule rule, int plays) {
+    Shrinker(Path program, AuditRule rule, int plays) {
         this.program = program;
         this.rule = rule;
         playsLeft = plays;
     }
 
-    Plan shrink(Plan plan) throws IOException, InterruptedException {
-        Plan smallest = plan;
+    FaultPlan shrink(FaultPlan plan) throws IOException, InterruptedException {
+        FaultPlan smallest = plan;
         for (int part = Math.max(1, plan.faults().size() / 2); part >= 1; part /= 2) {
             for (int from = 0; from < smallest.faults().size() && playsLeft > 0; ) {
                 List<Fault> fewer = new ArrayList<>(smallest.faults());
                 fewer.subList(from, Math.min(fewer.size(), from + part)).clear();
-                Plan smaller = smallest.with(fewer);
+                FaultPlan smaller = smallest.with(fewer);
                 if (breaks(smaller)) {
                     smallest = smaller;
                 } else {
@@ -34,7 +34,7 @@
         return smallest;
     }
 
-    private boolean breaks(Plan plan) throws IOException, InterruptedException {
+    private boolean breaks(FaultPlan plan) throws IOException, InterruptedException {
         playsLeft--;
         return Soak.play(plan, program).breaches().stream().anyMatch(each -> each.rule() == rule);
     }
--- a/lab/src/main/java/trestlegrade/lab/soak/SidecarProcess.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SidecarProcess.java
@@ -32,7 +32,7 @@
     private final int index;
     private final Path folder;
     private final Path program;
-    private final Recorder recorder;
+    private final EventRecorder recorder;
     private final StandInDiscovery discovery;
     private final FaultProxy[] relays;
     private final int sidecars;
@@ -56,7 +56,7 @@
             Path folder,
             Path program,
             Path shimLibrary,
-            Recorder recorder,
+            EventRecorder recorder,
             StandInDiscovery discovery)
             throws IOException {
         this.index = index;
@@ -133,13 +133,13 @@
     }
 
     private void writeSettings() throws IOException {
-        ObjectNode file = Settings.file(
+        ObjectNode file = SoakSettings.file(
                 name,
                 port,
                 relays[settings % 2].port(),
                 sidecars,
                 seed,
-                Settings.READ_LIMITS[settings % 2],
+                SoakSettings.READ_LIMITS[settings % 2],
                 discovery.list());
         ((ObjectNode) file.get("settings")).put("my_number", index);
         Files.writeString(folder.resolve("config.json"), file.toString());
--- a/lab/src/main/java/trestlegrade/lab/soak/SoakCommand.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SoakCommand.java
@@ -62,7 +62,7 @@
         System.out.println("seed processes faults requests attempts served breaches machine_late_ms");
         int breaches = 0;
         for (long each = seed; each < seed + runs; each++) {
-            Plan plan = Plan.draw(each, seconds * 1_000, processes, servers);
+            FaultPlan plan = FaultPlan.draw(each, seconds * 1_000, processes, servers);
             Soak.Result result = Soak.play(plan, program.toAbsolutePath());
             System.out.printf(
                     "%d %d %d %d %d %d %d %d%n",
@@ -77,7 +77,7 @@
             result.breaches().stream().limit(PRINTED_BREACHES).forEach(System.out::println);
             breaches += result.breaches().size();
             if (shrink && !result.breaches().isEmpty()) {
-                Plan smallest = new Shrinker(
+                FaultPlan smallest = new Shrinker(
                                 program.toAbsolutePath(),
                                 result.breaches().get(0).rule(),
                                 SHRINKING_PLAYS)
--- a/lab/src/main/java/trestlegrade/lab/soak/Settings.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SoakSettings.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** The settings of a run's sidecars; all times are in milliseconds. */
-final class Settings {
+final class SoakSettings {
     static final int DRAIN_GRACE = 1_000;
     static final int LONGEST_DEADLINE = 3_000;
     static final int SHORTEST_DEADLINE = 300;
@@ -13,7 +13,7 @@
     /** Two names for what a reload moves between: the longest time of a read. */
     static final int[] READ_LIMITS = {1_500, 2_000};
 
-    private Settings() {}
+    private SoakSettings() {}
 
     /** The file that LB_CONFIG names. */
     static ObjectNode file(
@@ -25,10 +25,13 @@
                 .put("discovery", "127.0.0.1:" + discoveryPort)
                 .put("seed", Long.toHexString(seed));
         file.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", DESCRIPTORS);
-        ObjectNode settings = file.putObject("settings")
-                .put("membership_mode", "on_request")
-                .put("weights", "off")
-                .put("n_instances", sidecars);
+        addSettings(file.putObject("settings"), sidecars, readLimit);
+        file.set("known", list);
+        return file;
+    }
+
+    private static void addSettings(ObjectNode settings, int sidecars, int readLimit) {
+        settings.put("membership_mode", "on_request").put("weights", "off").put("n_instances", sidecars);
         settings.putArray("azs").add("a").add("b");
         settings.putArray("flavors").add("m1");
         settings.putObject("ceilings")
@@ -38,7 +41,17 @@
                 .put("max_hops", 3)
                 .put("retry_after", true)
                 .put("max_retry_after", 2_000.0);
-        ArrayNode profiles = settings.putArray("profiles");
+        addProfiles(settings.putArray("profiles"), readLimit);
+        settings.putObject("safety")
+                .put("ask_within", 10_000)
+                .put("cold_from", 0.3)
+                .put("cold", 9_000)
+                .put("fall_multiple", 3)
+                .put("fall", 2_000)
+                .put("drain_grace", DRAIN_GRACE);
+    }
+
+    private static void addProfiles(ArrayNode profiles, int readLimit) {
         profiles.addObject()
                 .put("name", "read")
                 .put("effect", "repeatable")
@@ -51,14 +64,5 @@
                 .put("service_goal", 600)
                 .put("hard_limit", LONGEST_DEADLINE)
                 .put("revenue", 9);
-        settings.putObject("safety")
-                .put("ask_within", 10_000)
-                .put("cold_from", 0.3)
-                .put("cold", 9_000)
-                .put("fall_multiple", 3)
-                .put("fall", 2_000)
-                .put("drain_grace", DRAIN_GRACE);
-        file.set("known", list);
-        return file;
     }
 }
--- a/lab/src/main/java/trestlegrade/lab/soak/StandInDiscovery.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/StandInDiscovery.java
@@ -38,8 +38,8 @@
         }
     }
 
-    private final Background background;
-    private final Recorder recorder;
+    private final BackgroundTasks background;
+    private final EventRecorder recorder;
     private final Acceptor acceptor;
     private final Map<String, Row> rows = new LinkedHashMap<>();
     /** The change with index i + 2; the list begins with index 1. */
@@ -51,7 +51,7 @@
     private volatile boolean slow;
     private volatile boolean down;
 
-    StandInDiscovery(Background background, Recorder recorder) throws IOException {
+    StandInDiscovery(BackgroundTasks background, EventRecorder recorder) throws IOException {
         this.background = background;
         this.recorder = recorder;
         acceptor = new Acceptor(background, "discovery", this::serve);
--- a/lab/src/main/java/trestlegrade/lab/soak/StandInServer.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/StandInServer.java
@@ -20,7 +20,7 @@
     private static final String NO_HTTP = "what is this?\r\n\r\n";
 
     private final String name;
-    private final Recorder recorder;
+    private final EventRecorder recorder;
     private final Acceptor acceptor;
     private final FaultProxy proxy;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
@@ -30,7 +30,7 @@
     private volatile boolean answersTwice;
     private volatile boolean turnsAway;
 
-    StandInServer(String name, Background background, Recorder recorder) throws IOException {
+    StandInServer(String name, BackgroundTasks background, EventRecorder recorder) throws IOException {
         this.name = name;
         this.recorder = recorder;
         acceptor = new Acceptor(background, "server", this::serve);
--- a/lab/src/test/java/trestlegrade/lab/soak/AuditorTest.java
+++ b/lab/src/test/java/trestlegrade/lab/soak/AuditorTest.java
@@ -23,28 +23,28 @@
 
     static Stream<Arguments> breaches() {
         return Stream.of(
-                planted(Rule.ANSWER, read(), new Event.NoAnswer(AT + 2_500 * MS, "x")),
-                planted(Rule.ANSWER, read(), seen(2, 900), ran(3), answered(1_600, 200)),
-                planted(Rule.ANSWER, read(), seen(2, 900), new Event.ConnectionLost(AT + 9 * MS, "x", "closed")),
-                planted(Rule.ANSWER, read(), new Event.AnswerBroken(AT + 9 * MS, "x", "half")),
-                planted(Rule.ANSWER, read(), seen(2, 900), ran(3)),
+                planted(AuditRule.ANSWER, read(), new Event.NoAnswer(AT + 2_500 * MS, "x")),
+                planted(AuditRule.ANSWER, read(), seen(2, 900), ran(3), answered(1_600, 200)),
+                planted(AuditRule.ANSWER, read(), seen(2, 900), new Event.ConnectionLost(AT + 9 * MS, "x", "closed")),
+                planted(AuditRule.ANSWER, read(), new Event.AnswerBroken(AT + 9 * MS, "x", "half")),
+                planted(AuditRule.ANSWER, read(), seen(2, 900), ran(3)),
                 planted(
-                        Rule.FOREIGN_ANSWER,
+                        AuditRule.FOREIGN_ANSWER,
                         read(),
                         seen(2, 900),
                         ran(3),
                         new Event.AnswerRead(AT + 9 * MS, "x", 200, "y|s")),
-                planted(Rule.SENT_AFTER_ANSWER, read(), answered(10, 503), seen(100, 800)),
-                planted(Rule.SENT_AFTER_CLOSE, read(), new Event.ClientClosed(AT + 5 * MS, "x"), seen(120, 800)),
-                planted(Rule.DUPLICATE, write(), seen(2, 900), ran(3), seen(20, 900), ran(21), answered(30, 200)),
-                planted(Rule.REFUSED_AFTER_RUN, write(), seen(2, 900), ran(3), answered(30, 503)),
-                planted(Rule.DRAIN, leaves(-1_200), told(-1_100), read(), seen(2, 900), ran(3), answered(9, 200)),
-                planted(Rule.DRAIN, leaves(-7_200), read(), seen(2, 900), ran(3), answered(9, 200)),
-                planted(Rule.DEADLINE_TOLD, read(), seen(200, 980), ran(201), answered(220, 200)),
-                planted(Rule.HALF_REQUEST, new Event.HalfRequestEnded(AT, "n0", 4_000 * MS)),
-                planted(Rule.PROCESS, new Event.ProcessEnded(AT, "n0", 3, false)),
-                planted(Rule.PROCESS, new Event.ProcessEnded(AT, "n0", 1, true)),
-                planted(Rule.PROCESS, new Event.NeverReady(AT, "n0")));
+                planted(AuditRule.SENT_AFTER_ANSWER, read(), answered(10, 503), seen(100, 800)),
+                planted(AuditRule.SENT_AFTER_CLOSE, read(), new Event.ClientClosed(AT + 5 * MS, "x"), seen(120, 800)),
+                planted(AuditRule.DUPLICATE, write(), seen(2, 900), ran(3), seen(20, 900), ran(21), answered(30, 200)),
+                planted(AuditRule.REFUSED_AFTER_RUN, write(), seen(2, 900), ran(3), answered(30, 503)),
+                planted(AuditRule.DRAIN, leaves(-1_200), told(-1_100), read(), seen(2, 900), ran(3), answered(9, 200)),
+                planted(AuditRule.DRAIN, leaves(-7_200), read(), seen(2, 900), ran(3), answered(9, 200)),
+                planted(AuditRule.DEADLINE_TOLD, read(), seen(200, 980), ran(201), answered(220, 200)),
+                planted(AuditRule.HALF_REQUEST, new Event.HalfRequestEnded(AT, "n0", 4_000 * MS)),
+                planted(AuditRule.PROCESS, new Event.ProcessEnded(AT, "n0", 3, false)),
+                planted(AuditRule.PROCESS, new Event.ProcessEnded(AT, "n0", 1, true)),
+                planted(AuditRule.PROCESS, new Event.NeverReady(AT, "n0")));
     }
 
     /** What looks alike and is allowed. */
@@ -82,7 +82,7 @@
                         new Event.NoAnswer(AT + 2_500 * MS, "x")));
     }
 
-    private static Arguments planted(Rule rule, Event... events) {
+    private static Arguments planted(AuditRule rule, Event... events) {
         return Arguments.of(rule, List.of(events));
     }
 
@@ -116,7 +116,7 @@
 
     @ParameterizedTest
     @MethodSource({"breaches", "allowed"})
-    void aPlantedBreachIsFoundByItsId(Rule rule, List<Event> planted) {
+    void aPlantedBreachIsFoundByItsId(AuditRule rule, List<Event> planted) {
         List<Event> events = new ArrayList<>(planted);
         for (int i = 0; i < REQUESTS; i++) {
             long at = i * GAP;
@@ -127,13 +127,13 @@
             events.add(new Event.AnswerRead(at + 20 * MS, id, 200, id + "|other"));
         }
         events.sort(Comparator.comparingLong(Event::at));
-        List<Breach> found = new Auditor(events).audit();
+        List<RuleBreach> found = new Auditor(events).audit();
         assertEquals(
                 rule == null ? List.of() : List.of(rule),
-                found.stream().map(Breach::rule).toList(),
+                found.stream().map(RuleBreach::rule).toList(),
                 found::toString);
-        for (Breach each : found) {
-            boolean process = each.rule() == Rule.PROCESS || each.rule() == Rule.HALF_REQUEST;
+        for (RuleBreach each : found) {
+            boolean process = each.rule() == AuditRule.PROCESS || each.rule() == AuditRule.HALF_REQUEST;
             assertEquals(process ? "n0" : "x", each.id());
         }
     }
--- a/lab/src/test/java/trestlegrade/lab/soak/PlanTest.java
+++ b/lab/src/test/java/trestlegrade/lab/soak/FaultPlanTest.java
@@ -8,19 +8,20 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class PlanTest {
+class FaultPlanTest {
     @Test
     void theSameSeedDrawsTheSamePlanAndAnotherSeedAnother() {
-        assertEquals(Plan.draw(7, 25_000, 3, 6), Plan.draw(7, 25_000, 3, 6));
+        assertEquals(FaultPlan.draw(7, 25_000, 3, 6), FaultPlan.draw(7, 25_000, 3, 6));
         assertNotEquals(
-                Plan.draw(7, 25_000, 3, 6).faults(), Plan.draw(8, 25_000, 3, 6).faults());
+                FaultPlan.draw(7, 25_000, 3, 6).faults(),
+                FaultPlan.draw(8, 25_000, 3, 6).faults());
     }
 
     @Test
     void fiftySeedsHoldEachKindOfFault() {
         Set<Class<?>> kinds = new HashSet<>();
         for (int seed = 0; seed < 50; seed++) {
-            Plan.draw(seed, 25_000, 3, 6).faults().forEach(fault -> kinds.add(fault.getClass()));
+            FaultPlan.draw(seed, 25_000, 3, 6).faults().forEach(fault -> kinds.add(fault.getClass()));
         }
         assertTrue(kinds.containsAll(Set.of(Fault.class.getPermittedSubclasses())), kinds.toString());
     }
