--- a/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
@@ -254,10 +254,7 @@
         for (int i = 0; i < 12; i++) {
             String trace = "t" + i;
             gates.put(trace, new Gate());
-            try (Socket socket = new Socket()) {
-                socket.setReceiveBufferSize(2_048);
-                socket.setSoTimeout(10_000);
-                socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+            try (Socket socket = connectWithSmallBuffer()) {
                 socket.getOutputStream().write(bytes(transaction("quote", trace, 9_000)));
                 eventually(() -> endpoint.saw(trace));
                 signal("STOP");
@@ -278,6 +275,14 @@
         }
     }
 
+    private Socket connectWithSmallBuffer() throws IOException {
+        Socket socket = new Socket();
+        socket.setReceiveBufferSize(2_048);
+        socket.setSoTimeout(10_000);
+        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+        return socket;
+    }
+
     /**
      * Its answer is there at its head; it reads that only once it has written for a while, and is not cut off
      * meanwhile.
--- a/sidecar/src/test/java/trestlegrade/integration/ScaleIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ScaleIT.java
@@ -196,14 +196,7 @@
         opened.add(fleet);
         start();
         eventually(() -> discovery.seen.size() == 1);
-        List<JsonObject> all = new ArrayList<>();
-        for (int i = 0; i < MANY; i++) {
-            all.add(fleet.entry(i, "active"));
-        }
-        String text = new JsonObject(list(8, true, all.toArray(JsonObject[]::new))).encodePrettily() + "\n";
-        for (int i = 0; i < text.length(); i += 100_000) {
-            discovery.write(0, text.substring(i, Math.min(text.length(), i + 100_000)));
-        }
+        sendWholeList(fleet);
         beats();
         within(10_000, () -> health() == 200);
         transactions(12 * MANY, "t");
@@ -233,4 +226,16 @@
         assertTrue(peak < LIMIT_MB, peak + " MB of " + LIMIT_MB);
         assertEquals(0L, counters().getLong("no_descriptor"));
     }
+
+    /** In pieces, as a long list comes. */
+    private void sendWholeList(Fleet fleet) throws IOException {
+        List<JsonObject> all = new ArrayList<>();
+        for (int i = 0; i < MANY; i++) {
+            all.add(fleet.entry(i, "active"));
+        }
+        String text = new JsonObject(list(8, true, all.toArray(JsonObject[]::new))).encodePrettily() + "\n";
+        for (int i = 0; i < text.length(); i += 100_000) {
+            discovery.write(0, text.substring(i, Math.min(text.length(), i + 100_000)));
+        }
+    }
 }
