--- /dev/null
+++ b/sidecar/src/main/java/trestlegrade/config/HostPort.java
@@ -0,0 +1,29 @@
+package trestlegrade.config;
+
+import io.vertx.core.net.SocketAddress;
+
+/** Parser of addresses written as {@code host:port}. */
+public final class HostPort {
+    private static final int MAX_PORT = 65_535;
+
+    private HostPort() {}
+
+    /**
+     * Returns the address.
+     *
+     * @param keyPath the key that the text stands under, for the complaint
+     * @throws ConfigException if the text is no address
+     */
+    public static SocketAddress parse(String keyPath, String text) {
+        int colon = text.lastIndexOf(':');
+        try {
+            int port = Integer.parseInt(text.substring(colon + 1));
+            if (colon > 0 && port > 0 && port <= MAX_PORT) {
+                return SocketAddress.inetSocketAddress(port, text.substring(0, colon));
+            }
+        } catch (NumberFormatException e) {
+            // The complaint below says all there is to say.
+        }
+        throw new ConfigException(keyPath, "must be host:port, not " + text);
+    }
+}
--- a/sidecar/src/main/java/trestlegrade/config/PolicySettingsReader.java
+++ b/sidecar/src/main/java/trestlegrade/config/PolicySettingsReader.java
@@ -1,9 +1,7 @@
 package trestlegrade.config;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import trestlegrade.policy.settings.PolicySettings;
 import trestlegrade.policy.settings.PolicySettings.Customer;
 import trestlegrade.policy.settings.PolicySettings.Group;
@@ -11,133 +9,123 @@
 import trestlegrade.policy.settings.PolicySettings.Repeat;
 import trestlegrade.policy.settings.PolicySettings.Weights;
 
-/** Reads terms from the settings handed over at a start, as values by path: {@code profiles.0.effect}. */
+/** Reads the settings of the decisions; {@link SettingNames} tells which setting becomes what. */
 public final class PolicySettingsReader {
-    private final Map<String, String> values;
+    private static final double DEFAULT_MAX_POLL_INTERVAL_MILLIS = 10_000;
+    /** Keeps the quotient of the goal's weights finite. */
+    private static final double MIN_GOAL_WEIGHT = 1e-9;
 
-    public PolicySettingsReader(Map<String, String> values) {
+    private final SettingValues values;
+
+    PolicySettingsReader(SettingValues values) {
         this.values = values;
     }
 
-    /** Of settings written as path=value lines. */
+    /** Reads settings written as lines of {@code path=value}. */
     public static PolicySettingsReader ofLines(String text) {
-        Map<String, String> values = new HashMap<>();
-        for (String line : text.split("\n")) {
-            int at = line.indexOf('=');
-            if (at > 0) {
-                values.put(line.substring(0, at).strip(), line.substring(at + 1).strip());
-            }
-        }
-        return new PolicySettingsReader(values);
+        return new PolicySettingsReader(SettingValues.ofLines(text));
     }
 
-    public PolicySettings terms() {
-        List<Profile> profiles = new ArrayList<>();
-        int count = (int) number("profiles.count", null);
+    /**
+     * Returns the settings.
+     *
+     * @throws ConfigException if a required setting is missing or a value is unusable
+     */
+    public PolicySettings read() {
+        return new PolicySettings(
+                profiles(),
+                customers(),
+                (int) Math.max(1, values.number(SettingNames.FLEET_SIZE, 1.0)),
+                (int) Math.max(1, values.number(SettingNames.MAX_ATTEMPTS, 1.0)),
+                values.flag(SettingNames.CANCELLING),
+                values.flag(SettingNames.RETRY_AFTER),
+                values.ticks(SettingNames.MAX_RETRY_AFTER, 0.0),
+                values.text(SettingNames.LIST_DELIVERY, SettingNames.LIST_DELIVERY_PUSHED)
+                        .equals(SettingNames.LIST_DELIVERY_ON_REQUEST),
+                values.ticks(SettingNames.MAX_POLL_INTERVAL, DEFAULT_MAX_POLL_INTERVAL_MILLIS),
+                weights(),
+                values.flag(SettingNames.WARM_KEYS),
+                (int) values.number(SettingNames.LOCAL_ZONE, 0.0),
+                (int) values.number(SettingNames.SIDECAR_NUMBER, 0.0),
+                values.number(SettingNames.CROSS_ZONE_FEE, 0.0),
+                values.number(SettingNames.CONNECTION_FEE, 0.0),
+                evenness(),
+                values.number(SettingNames.SLOW_START_INITIAL_FRACTION, null),
+                values.ticks(SettingNames.SLOW_START_DURATION, null),
+                values.number(SettingNames.CRASH_MULTIPLE, null),
+                values.ticks(SettingNames.CRASH_SPAN, null));
+    }
+
+    private List<Profile> profiles() {
+        String countPath = SettingNames.count(SettingNames.PROFILES);
+        int count = (int) values.number(countPath, null);
         if (count < 1) {
-            throw bad("profiles.count", "no profiles");
+            throw ConfigException.ofSetting(countPath, "no profiles");
         }
+        List<Profile> profiles = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            profiles.add(profile("profiles." + i + "."));
-        }
-        List<Customer> customers = new ArrayList<>();
-        int tenants = (int) number("tenants.count", 0.0);
-        for (int i = 0; i < tenants; i++) {
-            customers.add(new Customer(number("tenants." + i + ".share", 1.0 / tenants)));
+            profiles.add(profile(i));
         }
-        return new PolicySettings(
-                profiles,
-                customers,
-                (int) Math.max(1, number("n_instances", 1.0)),
-                (int) Math.max(1, number("ceilings.max_hops", 1.0)),
-                flag("ceilings.cancelling"),
-                flag("ceilings.retry_after"),
-                time("ceilings.max_retry_after", 0.0),
-                choice("membership_mode", "pushed").equals("on_request"),
-                time("safety.ask_within", 10_000.0),
-                weights(),
-                flag("family_info.warm_keys"),
-                (int) number("zone", 0.0),
-                (int) number("my_number", 0.0),
-                number("fees.cross_zone", 0.0),
-                number("fees.connection", 0.0),
-                Math.min(1, number("goal.worst_class", 0.0) / Math.max(1e-9, number("goal.whole", 1.0))),
-                number("safety.cold_from", null),
-                time("safety.cold", null),
-                number("safety.fall_multiple", null),
-                time("safety.fall", null));
+        return profiles;
     }
 
-    private Weights weights() {
-        return switch (choice("weights", "off")) {
-            case "off" -> Weights.NONE;
-            case "nominal", "rough" -> Weights.SIZE;
-            case "live" -> Weights.LIVE;
-            default -> throw bad("weights", "unknown value");
-        };
+    private Profile profile(int index) {
+        Repeat idempotency = idempotency(path(index, SettingNames.PROFILE_IDEMPOTENCY));
+        boolean journalled = idempotency == Repeat.JOURNALLED;
+        Group scope = deduplicationScope(path(index, SettingNames.PROFILE_DEDUPLICATION_SCOPE), journalled);
+        return new Profile(
+                values.ticks(path(index, SettingNames.PROFILE_LATENCY_OBJECTIVE), null),
+                values.ticks(path(index, SettingNames.PROFILE_DEADLINE), null),
+                values.number(path(index, SettingNames.PROFILE_REVENUE), 1.0),
+                idempotency,
+                scope,
+                values.ticks(path(index, SettingNames.PROFILE_DEDUPLICATION_WINDOW), journalled ? null : 0.0));
     }
 
-    private Profile profile(String at) {
-        Repeat repeat = switch (choice(at + "effect", null)) {
+    private static String path(int profile, String field) {
+        return SettingNames.element(SettingNames.PROFILES, profile, field);
+    }
+
+    private Repeat idempotency(String path) {
+        return switch (values.text(path, null)) {
             case "repeatable" -> Repeat.IDEMPOTENT;
             case "by_key" -> Repeat.JOURNALLED;
             case "once" -> Repeat.NON_IDEMPOTENT;
-            default -> throw bad(at + "effect", "unknown value");
+            default -> throw ConfigException.ofSetting(path, "unknown value");
         };
-        boolean journalled = repeat == Repeat.JOURNALLED;
-        Group group = switch (choice(at + "group", journalled ? null : "all")) {
+    }
+
+    private Group deduplicationScope(String path, boolean required) {
+        return switch (values.text(path, required ? null : "all")) {
             case "all" -> Group.ALL;
             case "zone" -> Group.ZONE;
             case "cell" -> Group.CELL;
-            default -> throw bad(at + "group", "unknown value");
+            default -> throw ConfigException.ofSetting(path, "unknown value");
         };
-        return new Profile(
-                time(at + "service_goal", null),
-                time(at + "hard_limit", null),
-                number(at + "revenue", 1.0),
-                repeat,
-                group,
-                time(at + "dedup_window", journalled ? null : 0.0));
     }
 
-    private double number(String key, Double otherwise) {
-        String text = values.get(key);
-        if (text == null || text.isEmpty()) {
-            if (otherwise == null) {
-                throw bad(key, "missing");
-            }
-            return otherwise;
-        }
-        double value;
-        try {
-            value = Double.parseDouble(text);
-        } catch (NumberFormatException e) {
-            throw bad(key, "not a number: " + text);
-        }
-        if (!(value >= 0) || Double.isInfinite(value)) {
-            throw bad(key, "must be finite and not negative: " + text);
+    private List<Customer> customers() {
+        List<Customer> customers = new ArrayList<>();
+        int count = (int) values.number(SettingNames.count(SettingNames.CUSTOMERS), 0.0);
+        for (int i = 0; i < count; i++) {
+            String path = SettingNames.element(SettingNames.CUSTOMERS, i, SettingNames.CUSTOMER_SHARE);
+            customers.add(new Customer(values.number(path, 1.0 / count)));
         }
-        return value;
-    }
-
-    /** A time in milliseconds as whole tenths. */
-    public long time(String key, Double otherwise) {
-        return Math.round(number(key, otherwise) * 10);
-    }
-
-    private boolean flag(String key) {
-        return choice(key, "false").equals("true");
+        return customers;
     }
 
-    private String choice(String key, String otherwise) {
-        String text = values.getOrDefault(key, otherwise);
-        if (text == null) {
-            throw bad(key, "missing");
-        }
-        return text;
+    private Weights weights() {
+        return switch (values.text(SettingNames.WEIGHTS, "off")) {
+            case "off" -> Weights.NONE;
+            case "nominal", "rough" -> Weights.SIZE;
+            case "live" -> Weights.LIVE;
+            default -> throw ConfigException.ofSetting(SettingNames.WEIGHTS, "unknown value");
+        };
     }
 
-    private static IllegalArgumentException bad(String key, String why) {
-        return new IllegalArgumentException("setting " + key + ": " + why);
+    private double evenness() {
+        double worstProfile = values.number(SettingNames.GOAL_WORST_PROFILE, 0.0);
+        double whole = values.number(SettingNames.GOAL_WHOLE, 1.0);
+        return Math.min(1, worstProfile / Math.max(MIN_GOAL_WEIGHT, whole));
     }
 }
--- a/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
+++ b/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
@@ -1,23 +1,32 @@
 package trestlegrade.config;
 
-import io.vertx.core.json.DecodeException;
 import io.vertx.core.json.JsonArray;
-import io.vertx.core.json.JsonObject;
 import io.vertx.core.net.SocketAddress;
-import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.InvalidPathException;
-import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Objects;
 import trestlegrade.policy.settings.PolicySettings;
 
-/** What a sidecar is told at its start: who it is, whom it serves, and on which terms. */
+/**
+ * Configuration of one sidecar: its identity, its addresses and limits, and the settings that a reload may change.
+ * Times are ticks (tenths of a millisecond) unless the name says otherwise.
+ *
+ * @param name of this sidecar, in the log
+ * @param listen address on which the application is served
+ * @param discovery address of the endpoint list's source
+ * @param seed of all random numbers
+ * @param sockets file descriptors that this process may use for sockets
+ * @param version of the initial endpoint list
+ * @param known entries of the initial endpoint list, as discovery writes them
+ * @param terms settings of the decisions
+ * @param profiles names of the classes of request, by number
+ * @param customers names of the customers, by number
+ * @param zones names of the zones, by number
+ * @param kinds names of the kinds of machine, by number
+ * @param idleFor time after which endpoints close an idle connection
+ * @param connectWithin connect timeout
+ * @param agreedRate requests a second that the customers may send to this sidecar by contract; infinite if unknown
+ * @param drainGrace how long a draining endpoint may be sent to
+ */
 public record SidecarConfig(
         String name,
         SocketAddress listen,
@@ -35,96 +44,42 @@
         long connectWithin,
         double agreedRate,
         long drainGrace) {
+    private static final int TICKS_PER_MILLISECOND = 10;
 
-    /** Reads the file that LB_CONFIG names; what the file leaves out may stand in the environment. */
-    public static SidecarConfig read(Map<String, String> environment) {
-        String path = environment.get("LB_CONFIG");
-        if (path == null || path.isEmpty()) {
-            throw bad("LB_CONFIG", "not set; it names the configuration file");
-        }
-        JsonObject file;
-        try {
-            file = new JsonObject(Files.readString(Path.of(path), StandardCharsets.UTF_8));
-        } catch (IOException | InvalidPathException e) {
-            throw bad("LB_CONFIG", "cannot read " + path + ": " + e);
-        } catch (DecodeException e) {
-            throw bad("LB_CONFIG", path + " is not JSON: " + e.getMessage());
-        }
-        return of(file, environment);
-    }
-
-    public static SidecarConfig of(JsonObject file, Map<String, String> environment) {
-        JsonObject settings = object(file, "settings");
-        Map<String, String> values = new HashMap<>();
-        flatten("", settings, values);
-        PolicySettingsReader reader = new PolicySettingsReader(values);
-        PolicySettings terms;
-        try {
-            terms = reader.terms();
-        } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("settings: " + e.getMessage(), e);
-        }
-        List<String> zones = plain(settings, "azs");
-        if (terms.zone() >= Math.max(1, zones.size())) {
-            throw bad("settings.zone", "is not among the " + zones.size() + " of settings.azs");
-        }
-        if (terms.number() >= terms.sidecars()) {
-            throw bad("settings.my_number", "must be under settings.n_instances");
-        }
-        JsonObject limits = object(file, "limits");
-        JsonObject known = object(file, "known");
-        if (!(known.getValue("endpoints") instanceof JsonArray entries)) {
-            throw bad("known.endpoints", "must be an array");
-        }
-        if (!(known.getValue("index", 0) instanceof Number version)) {
-            throw bad("known.index", "must be a number");
-        }
-        return new SidecarConfig(
-                text(file, "name", environment.get("LB_NAME")),
-                address("listen", text(file, "listen", environment.get("LB_LISTEN"))),
-                address("discovery", text(file, "discovery", environment.get("LB_DISCOVERY"))),
-                seed(text(file, "seed", null)),
-                sockets(limits),
-                version.longValue(),
-                entries,
-                terms,
-                names(settings, "profiles"),
-                names(settings, "tenants"),
-                zones,
-                plain(settings, "flavors"),
-                reader.time("ceilings.keepalive", 10_000.0),
-                reader.time("ceilings.dial_timeout", 250.0),
-                agreedRate(settings) / terms.sidecars(),
-                reader.time("safety.drain_grace", 0.0));
-    }
-
-    /** The longest deadline, in milliseconds: what any transaction takes at the most. */
+    /** Returns the longest deadline of a profile in milliseconds, which bounds the life of any transaction. */
     public long longestDeadline() {
         return terms.profiles().stream()
                         .mapToLong(PolicySettings.Profile::deadline)
                         .max()
                         .orElse(0)
-                / 10;
+                / TICKS_PER_MILLISECOND;
     }
 
-    /** The longest service goal, in milliseconds. */
+    /** Returns the longest latency objective of a profile, in milliseconds. */
     public long longestGoal() {
         return terms.profiles().stream()
                         .mapToLong(PolicySettings.Profile::serviceGoal)
                         .max()
                         .orElse(0)
-                / 10;
+                / TICKS_PER_MILLISECOND;
     }
 
-    /** What another file says otherwise, of all that holds until the program ends. */
+    /** Returns the keys that differ in another configuration and that hold until the process ends. */
     public List<String> differsIn(SidecarConfig other) {
-        Map<String, Boolean> same = new LinkedHashMap<>();
-        same.put("name", name.equals(other.name));
-        same.put("listen", listen.equals(other.listen));
-        same.put("limits", sockets == other.sockets);
-        return same.keySet().stream().filter(key -> !same.get(key)).toList();
+        List<String> keys = new ArrayList<>();
+        if (!name.equals(other.name)) {
+            keys.add("name");
+        }
+        if (!listen.equals(other.listen)) {
+            keys.add("listen");
+        }
+        if (sockets != other.sockets) {
+            keys.add("limits");
+        }
+        return keys;
     }
 
+    /** Returns whether all that a reload may change is the same in another configuration, but for the addresses. */
     public boolean sameSettings(SidecarConfig other) {
         return terms.equals(other.terms)
                 && profiles.equals(other.profiles)
@@ -135,101 +90,4 @@
                 && connectWithin == other.connectWithin
                 && drainGrace == other.drainGrace;
     }
-
-    /** Transactions a second that all customers together are granted of all sidecars; infinite if none says. */
-    private static double agreedRate(JsonObject settings) {
-        double sum = 0;
-        if (settings.getValue("tenants") instanceof JsonArray tenants) {
-            for (Object each : tenants) {
-                if (each instanceof JsonObject one && one.getValue("allowance_per_s") instanceof Number n) {
-                    sum += n.doubleValue();
-                }
-            }
-        }
-        return sum > 0 ? sum : Double.POSITIVE_INFINITY;
-    }
-
-    private static int sockets(JsonObject limits) {
-        // Under 64 there is no room for the program itself, discovery and a few connections on either side.
-        if (!(limits.getValue("sockets") instanceof Number n) || n.intValue() < 64) {
-            throw bad("limits.sockets", "must be a number, 64 at least");
-        }
-        return n.intValue();
-    }
-
-    private static long seed(String text) {
-        try {
-            return Long.parseUnsignedLong(text, 16);
-        } catch (NumberFormatException e) {
-            throw bad("seed", "must be a hexadecimal number of 16 digits at most");
-        }
-    }
-
-    private static JsonObject object(JsonObject in, String key) {
-        if (in.getValue(key) instanceof JsonObject found) {
-            return found;
-        }
-        throw bad(key, "must be an object");
-    }
-
-    private static String text(JsonObject in, String key, String otherwise) {
-        Object found = in.getValue(key) == null ? otherwise : in.getValue(key);
-        if (found instanceof String text && !text.isEmpty()) {
-            return text;
-        }
-        throw bad(key, "must be a text");
-    }
-
-    public static SocketAddress address(String key, String text) {
-        int colon = text.lastIndexOf(':');
-        try {
-            int port = Integer.parseInt(text.substring(colon + 1));
-            if (colon > 0 && port > 0 && port < 65_536) {
-                return SocketAddress.inetSocketAddress(port, text.substring(0, colon));
-            }
-        } catch (NumberFormatException e) {
-            // Falls through to the complaint below.
-        }
-        throw bad(key, "must be host:port, not " + text);
-    }
-
-    private static List<String> names(JsonObject settings, String key) {
-        List<String> names = new ArrayList<>();
-        if (settings.getValue(key) instanceof JsonArray array) {
-            for (Object each : array) {
-                if (!(each instanceof JsonObject one && one.getValue("name") instanceof String name)) {
-                    throw bad("settings." + key + "." + names.size() + ".name", "must be a text");
-                }
-                names.add(name);
-            }
-        }
-        return names;
-    }
-
-    private static List<String> plain(JsonObject settings, String key) {
-        List<String> names = new ArrayList<>();
-        if (settings.getValue(key) instanceof JsonArray array) {
-            array.forEach(each -> names.add(Objects.toString(each)));
-        }
-        return names;
-    }
-
-    private static void flatten(String path, Object value, Map<String, String> into) {
-        if (value instanceof JsonObject object) {
-            for (Map.Entry<String, Object> each : object) {
-                flatten(path.isEmpty() ? each.getKey() : path + "." + each.getKey(), each.getValue(), into);
-            }
-        } else if (value instanceof JsonArray array) {
-            into.put(path + ".count", Integer.toString(array.size()));
-            for (int i = 0; i < array.size(); i++) {
-                flatten(path + "." + i, array.getValue(i), into);
-            }
-        } else if (value != null) {
-            into.put(path, value.toString());
-        }
-    }
-
-    private static IllegalArgumentException bad(String key, String why) {
-        return new IllegalArgumentException(key + ": " + why);
-    }
 }
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointEntry.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointEntry.java
@@ -3,7 +3,7 @@
 import io.vertx.core.json.JsonObject;
 import io.vertx.core.net.SocketAddress;
 import java.util.Optional;
-import trestlegrade.config.SidecarConfig;
+import trestlegrade.config.HostPort;
 import trestlegrade.policy.endpoint.EndpointUpdate;
 
 /**
@@ -64,7 +64,7 @@
     }
 
     SocketAddress address() {
-        return SidecarConfig.address("address", json.getString("address"));
+        return HostPort.parse("address", json.getString("address"));
     }
 
     String zone() {
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
 import trestlegrade.config.SidecarConfig;
+import trestlegrade.config.SidecarConfigReader;
 import trestlegrade.discovery.DiscoveryClient;
 import trestlegrade.discovery.EndpointListSource;
 import trestlegrade.discovery.EndpointRegistry;
@@ -56,7 +57,7 @@
     public static boolean serve(Map<String, String> environment) {
         SidecarConfig commission;
         try {
-            commission = SidecarConfig.read(environment);
+            commission = SidecarConfigReader.read(environment);
         } catch (RuntimeException e) {
             System.err.println("serve: " + e.getMessage());
             return false;
@@ -70,7 +71,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             JsonObject file = new JsonObject(MADE_UP).put("listen", "127.0.0.1:" + free.getLocalPort());
             free.close();
-            Sidecar sidecar = new Sidecar(SidecarConfig.of(file, Map.of()), Map.of());
+            Sidecar sidecar = new Sidecar(SidecarConfigReader.of(file, Map.of()), Map.of());
             Vertx vertx = sidecar.vertx();
             Context context = vertx.getOrCreateContext();
             int played = Future.<Integer>future(ready -> context.runOnContext(
@@ -218,7 +219,7 @@
     private synchronized void reread(Context context) {
         SidecarConfig told;
         try {
-            told = SidecarConfig.read(environment);
+            told = SidecarConfigReader.read(environment);
         } catch (RuntimeException e) {
             log.add(() -> Logger.warn("reload code=unreadable cause={}", e.getMessage()));
             return;
--- /dev/null
+++ b/sidecar/src/main/java/trestlegrade/simulator/EndpointLists.java
@@ -0,0 +1,68 @@
+package trestlegrade.simulator;
+
+import java.nio.BufferUnderflowException;
+import java.util.ArrayList;
+import java.util.List;
+import trestlegrade.policy.endpoint.EndpointUpdate;
+
+/** The numbered endpoint lists that all instances of the process share; a later list replaces one of its number. */
+final class EndpointLists {
+    private static final int MAX_LISTS = 16;
+    private static final int ROW_BYTES = 22;
+
+    private static final int STATE_GONE = 0;
+    private static final int STATE_READY = 1;
+    private static final int STATE_DRAINING = 2;
+
+    private final List<List<EndpointUpdate>> lists = new ArrayList<>();
+
+    EndpointLists() {
+        for (int i = 0; i < MAX_LISTS; i++) {
+            lists.add(null);
+        }
+    }
+
+    /** Reads one list. */
+    void read(BatchReader batch) throws MalformedFrameException {
+        int number = batch.i32();
+        int count = batch.i32();
+        if (number < 0 || number >= MAX_LISTS) {
+            throw new MalformedFrameException("a list numbered " + number);
+        }
+        if (count < 0 || count > batch.remaining() / ROW_BYTES) {
+            throw new BufferUnderflowException();
+        }
+        List<EndpointUpdate> rows = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            rows.add(row(batch));
+        }
+        lists.set(number, rows);
+    }
+
+    List<EndpointUpdate> get(int number) throws MalformedFrameException {
+        if (number < 0 || number >= MAX_LISTS || lists.get(number) == null) {
+            throw new MalformedFrameException("a list of unknown number " + number);
+        }
+        return lists.get(number);
+    }
+
+    private static EndpointUpdate row(BatchReader batch) throws MalformedFrameException {
+        long id = batch.u32();
+        int zone = batch.u8();
+        int kind = batch.u16();
+        int cell = batch.u16();
+        EndpointUpdate.State state = state(batch.u8());
+        double weight = batch.f32();
+        long launched = batch.ticks();
+        return new EndpointUpdate(id, zone, kind, cell, state, weight, launched);
+    }
+
+    private static EndpointUpdate.State state(int code) throws MalformedFrameException {
+        return switch (code) {
+            case STATE_GONE -> EndpointUpdate.State.GONE;
+            case STATE_READY -> EndpointUpdate.State.READY;
+            case STATE_DRAINING -> EndpointUpdate.State.DRAINING;
+            default -> throw new MalformedFrameException("an endpoint in unknown state " + code);
+        };
+    }
+}
--- a/sidecar/src/main/java/trestlegrade/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/SimulatorAdapter.java
@@ -5,41 +5,55 @@
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.nio.BufferUnderflowException;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.List;
 import trestlegrade.config.PolicySettingsReader;
 import trestlegrade.policy.LoadBalancer;
-import trestlegrade.policy.endpoint.EndpointUpdate;
 import trestlegrade.policy.request.AttemptOutcome;
 
-/** The bench's wire: decodes each batch into calls of the instances' decisions and encodes their results. */
+/**
+ * Runs the decisions of many sidecars for a simulator: decodes each batch of events on the input into calls of the
+ * instances, and writes their actions as one reply. Single-threaded.
+ *
+ * <p>{@link EventCode} and {@link ActionCode} list the records. The outcome of an attempt is a number of ten times its
+ * place in {@link AttemptOutcome}, counted from one.
+ */
 public final class SimulatorAdapter {
-    private static final int HEADER = 16;
-    private static final int LISTS = 16;
-    private static final int ROW = 22;
-    /** By the wire's numbers over ten, less one. */
+    private static final int OUTCOME_STEP = 10;
     private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
-    private final InputStream in;
+    /** The watch or poll failed; no entries follow. */
+    private static final int SCOPE_FAILED = 0;
+    /** The list that the instance had before it started. */
+    private static final int SCOPE_CACHED = 1;
+
+    private static final int SCOPE_FULL = 2;
+    private static final int SCOPE_DELTA = 4;
+
+    private static final int FLAG_COST_VALID = 1;
+
+    /** Endpoint (u32) and time since the send (f64) of an answer that begins. */
+    private static final int STREAM_BEGUN_TAIL_BYTES = 12;
+    /** Time taken (f64), outcome (u8) and endpoint (u32) of a health check. */
+    private static final int HEALTH_CHECK_BYTES = 13;
+
     private final OutputStream out;
+    private final BatchReader batch;
     private final IntObjectHashMap<LoadBalancer> instances = new IntObjectHashMap<>();
-    private final List<List<EndpointUpdate>> lists = new ArrayList<>();
+    private final EndpointLists lists = new EndpointLists();
     private final SimulatorReply reply = new SimulatorReply();
-    private ByteBuffer batch = ByteBuffer.allocate(1 << 16);
 
+    /** Reads from and writes to these streams, which the caller closes. */
     public SimulatorAdapter(InputStream in, OutputStream out) {
-        this.in = in;
+        batch = new BatchReader(in);
         this.out = out;
-        for (int i = 0; i < LISTS; i++) {
-            lists.add(null);
-        }
     }
 
-    /** Answers batches until the input ends. */
+    /**
+     * Answers batches until the input ends.
+     *
+     * @throws MalformedFrameException if the input is not of the simulator's protocol
+     */
     public void run() throws IOException {
-        while (read()) {
+        while (batch.next()) {
             reply.begin();
             answer();
             reply.writeTo(out);
@@ -47,37 +61,9 @@
         }
     }
 
-    private boolean read() throws IOException {
-        int got = in.readNBytes(batch.array(), 0, HEADER);
-        if (got == 0) {
-            return false;
-        }
-        if (got < HEADER) {
-            throw new MalformedFrameException("input ends inside a header");
-        }
-        int size = batch.getInt(0);
-        if (size < 0) {
-            throw new MalformedFrameException("a batch of " + Integer.toUnsignedString(size) + " bytes");
-        }
-        if (size > batch.capacity() - HEADER) {
-            ByteBuffer larger = ByteBuffer.allocate(Math.addExact(Math.max(size, size / 2 * 3), HEADER));
-            System.arraycopy(batch.array(), 0, larger.array(), 0, HEADER);
-            batch = larger;
-        }
-        if (in.readNBytes(batch.array(), HEADER, size) < size) {
-            throw new MalformedFrameException("input ends inside a batch");
-        }
-        batch.limit(HEADER + size).position(HEADER);
-        return true;
-    }
-
     private void answer() throws MalformedFrameException {
-        int records = batch.getInt(4);
-        double clock = batch.getDouble(8);
-        if (!(Math.abs(clock) < 1e15)) {
-            throw new MalformedFrameException("a clock of " + clock);
-        }
-        long now = tenths(clock);
+        int records = batch.records();
+        long now = batch.clockTicks();
         try {
             for (int i = 0; i < records; i++) {
                 record(now);
@@ -85,178 +71,146 @@
         } catch (BufferUnderflowException e) {
             throw new MalformedFrameException("a record goes past the end of its batch");
         }
-        if (batch.hasRemaining()) {
+        if (batch.remaining() > 0) {
             throw new MalformedFrameException(batch.remaining() + " bytes after the last record");
         }
     }
 
     private void record(long now) throws MalformedFrameException {
-        int code = batch.getShort();
-        if (code == 1100) {
-            list();
+        EventCode code = batch.code();
+        if (code == EventCode.ENDPOINT_LIST) {
+            lists.read(batch);
             return;
         }
-        int who = Short.toUnsignedInt(batch.getShort());
-        LoadBalancer instance = instances.get(who);
-        reply.instance(who);
+        int id = batch.u16();
+        reply.actFor(id);
         try {
-            switch (code) {
-                case 1000 -> {
-                    long seed = batch.getLong();
-                    String text = new String(bytes(batch.getInt()), StandardCharsets.UTF_8);
-                    instances.remove(who);
-                    LoadBalancer fresh =
-                            new LoadBalancer(PolicySettingsReader.ofLines(text).terms(), seed, reply);
-                    instances.put(who, fresh);
-                    fresh.start(now);
-                }
-                case 1010 -> listed(instance, now);
-                case 1020 -> arrived(instance, now);
-                case 1030 -> {
-                    long tx = u32();
-                    int attempt = Byte.toUnsignedInt(batch.get());
-                    skip(12);
-                    if (instance != null) {
-                        instance.streaming(tx, attempt);
-                    }
-                }
-                case 1040 -> ended(instance, now);
-                case 1050 -> {
-                    long tx = u32();
-                    if (instance != null) {
-                        instance.clientLeft(now, tx);
-                    }
-                }
-                case 1060 -> {
-                    skip(8);
-                    if (instance != null) {
-                        instance.woken(now);
-                    }
-                }
-                case 1070 -> {
-                    skip(13);
-                    skip(4 * Byte.toUnsignedInt(batch.get()));
-                }
-                case 1080 -> {
-                    skip(2);
-                    skip(Short.toUnsignedInt(batch.getShort()));
-                }
-                case 1090 -> instances.remove(who);
-                default -> throw new MalformedFrameException("a record of unknown code " + code);
+            if (code == EventCode.START) {
+                start(id, now);
+            } else if (code == EventCode.STOP) {
+                instances.remove(id);
+            } else {
+                event(code, instances.get(id), now);
             }
         } catch (BufferUnderflowException e) {
             throw e;
         } catch (RuntimeException e) {
-            instances.remove(who);
-            reply.giveIn(e.getMessage() == null ? e.toString() : e.getMessage());
+            // The instance has failed, by its settings or by a fault of the decisions: the simulator is told why.
+            instances.remove(id);
+            reply.fault(e.getMessage() == null ? e.toString() : e.getMessage());
+        }
+    }
+
+    private void start(int id, long now) {
+        long seed = batch.u64();
+        String settings = batch.text();
+        instances.remove(id);
+        LoadBalancer instance =
+                new LoadBalancer(PolicySettingsReader.ofLines(settings).read(), seed, reply);
+        instances.put(id, instance);
+        instance.start(now);
+    }
+
+    /** Reads one event; an instance that was stopped, or never started, is null, and its events are dropped. */
+    private void event(EventCode code, LoadBalancer instance, long now) throws MalformedFrameException {
+        switch (code) {
+            case LIST_NEWS -> listNews(instance, now);
+            case ARRIVAL -> arrival(instance, now);
+            case STREAM_BEGUN -> streamBegun(instance);
+            case ATTEMPT_ENDED -> attemptEnded(instance, now);
+            case CLIENT_LEFT -> clientLeft(instance, now);
+            case TIMER -> timer(instance, now);
+            case HEALTH_CHECK_ENDED -> {
+                batch.skip(HEALTH_CHECK_BYTES);
+                skipLoadReport();
+            }
+            case PEER_MESSAGE -> {
+                batch.skip(Short.BYTES);
+                batch.skip(batch.u16());
+            }
+            default -> throw new IllegalStateException("no event of an instance: " + code);
         }
     }
 
-    private void listed(LoadBalancer instance, long now) throws MalformedFrameException {
-        skip(4);
-        int scope = batch.get();
-        int ref = batch.getInt();
-        if (scope == 0) {
+    private void listNews(LoadBalancer instance, long now) throws MalformedFrameException {
+        batch.skip(Integer.BYTES); // The list's version: news come in order, and none is skipped.
+        int scope = batch.u8();
+        int list = batch.i32();
+        if (scope == SCOPE_FAILED) {
             if (instance != null) {
                 instance.listFailed(now);
             }
             return;
         }
-        if (scope != 1 && scope != 2 && scope != 4) {
+        if (scope != SCOPE_CACHED && scope != SCOPE_FULL && scope != SCOPE_DELTA) {
             throw new MalformedFrameException("a list of unknown scope " + scope);
         }
-        if (ref < 0 || ref >= LISTS || lists.get(ref) == null) {
-            throw new MalformedFrameException("a list of unknown number " + ref);
-        }
+        var rows = lists.get(list);
         if (instance != null) {
-            instance.listed(now, lists.get(ref), scope != 4, scope == 1);
+            instance.listed(now, rows, scope != SCOPE_DELTA, scope == SCOPE_CACHED);
         }
     }
 
-    private void arrived(LoadBalancer instance, long now) {
-        long tx = u32();
-        int profile = Byte.toUnsignedInt(batch.get());
-        int customer = batch.getInt();
-        long key = batch.getLong();
-        double patience = batch.getDouble();
-        double cost = batch.getDouble();
-        int flags = batch.getShort();
+    private void arrival(LoadBalancer instance, long now) {
+        long transaction = batch.u32();
+        int profile = batch.u8();
+        int customer = batch.i32();
+        long key = batch.u64();
+        long patience = batch.ticks();
+        double costMillis = batch.f64();
+        boolean costValid = (batch.u16() & FLAG_COST_VALID) != 0 && costMillis > 0;
+        long cost = costValid ? BatchReader.toTicks(costMillis) : 0;
         if (instance != null) {
-            instance.arrived(
-                    now, tx, profile, customer, key, tenths(patience), (flags & 1) != 0 && cost > 0 ? tenths(cost) : 0);
+            instance.arrived(now, transaction, profile, customer, key, patience, cost);
         }
     }
 
-    private void ended(LoadBalancer instance, long now) throws MalformedFrameException {
-        long tx = u32();
-        int attempt = Byte.toUnsignedInt(batch.get());
-        skip(4);
-        int status = batch.get();
-        double took = batch.getDouble();
-        boolean finished = batch.get() != 0;
-        skip(4 * Byte.toUnsignedInt(batch.get()));
-        if (status < 10 || status > 80 || status % 10 != 0) {
-            throw new MalformedFrameException("an attempt of unknown outcome " + status);
-        }
+    private void streamBegun(LoadBalancer instance) {
+        long transaction = batch.u32();
+        int attempt = batch.u8();
+        batch.skip(STREAM_BEGUN_TAIL_BYTES);
         if (instance != null) {
-            instance.attemptEnded(now, tx, attempt, OUTCOMES[status / 10 - 1], tenths(took), finished);
+            instance.streaming(transaction, attempt);
         }
     }
 
-    private void list() throws MalformedFrameException {
-        int ref = batch.getInt();
-        int count = batch.getInt();
-        if (ref < 0 || ref >= LISTS) {
-            throw new MalformedFrameException("a list numbered " + ref);
-        }
-        if (count < 0 || count > batch.remaining() / ROW) {
-            throw new BufferUnderflowException();
-        }
-        List<EndpointUpdate> rows = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
-            rows.add(new EndpointUpdate(
-                    u32(),
-                    Byte.toUnsignedInt(batch.get()),
-                    Short.toUnsignedInt(batch.getShort()),
-                    Short.toUnsignedInt(batch.getShort()),
-                    state(batch.get()),
-                    batch.getFloat(),
-                    tenths(batch.getDouble())));
+    private void attemptEnded(LoadBalancer instance, long now) throws MalformedFrameException {
+        long transaction = batch.u32();
+        int attempt = batch.u8();
+        batch.skip(Integer.BYTES); // The endpoint: the attempt tells it.
+        int outcomeCode = batch.u8();
+        long took = batch.ticks();
+        boolean finished = batch.u8() != 0;
+        skipLoadReport();
+        AttemptOutcome outcome = outcome(outcomeCode);
+        if (instance != null) {
+            instance.attemptEnded(now, transaction, attempt, outcome, took, finished);
         }
-        lists.set(ref, rows);
-    }
-
-    private static EndpointUpdate.State state(int code) throws MalformedFrameException {
-        return switch (code) {
-            case 0 -> EndpointUpdate.State.GONE;
-            case 1 -> EndpointUpdate.State.READY;
-            case 2 -> EndpointUpdate.State.DRAINING;
-            default -> throw new MalformedFrameException("an endpoint in unknown state " + code);
-        };
     }
 
-    private long u32() {
-        return Integer.toUnsignedLong(batch.getInt());
+    private void clientLeft(LoadBalancer instance, long now) {
+        long transaction = batch.u32();
+        if (instance != null) {
+            instance.clientLeft(now, transaction);
+        }
     }
 
-    private byte[] bytes(int count) {
-        if (count < 0 || count > batch.remaining()) {
-            throw new BufferUnderflowException();
+    private void timer(LoadBalancer instance, long now) {
+        batch.skip(Long.BYTES); // The token: all timers mean the same.
+        if (instance != null) {
+            instance.woken(now);
         }
-        byte[] text = new byte[count];
-        batch.get(text);
-        return text;
     }
 
-    private void skip(int count) {
-        if (count > batch.remaining()) {
-            throw new BufferUnderflowException();
-        }
-        batch.position(batch.position() + count);
+    private void skipLoadReport() {
+        batch.skip(Float.BYTES * batch.u8());
     }
 
-    /** Milliseconds of the wire as whole tenths. */
-    public static long tenths(double milliseconds) {
-        return Math.round(milliseconds * 10);
+    private static AttemptOutcome outcome(int code) throws MalformedFrameException {
+        int index = code / OUTCOME_STEP - 1;
+        if (code % OUTCOME_STEP != 0 || index < 0 || index >= OUTCOMES.length) {
+            throw new MalformedFrameException("an attempt of unknown outcome " + code);
+        }
+        return OUTCOMES[index];
     }
 }
--- a/sidecar/src/main/java/trestlegrade/simulator/SimulatorReply.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/SimulatorReply.java
@@ -7,70 +7,84 @@
 import trestlegrade.policy.PolicyActions;
 import trestlegrade.policy.request.RejectionReason;
 
-/** The reply to one batch, written as the instances decide. */
+/** Encodes the actions of all instances as the reply to one batch. */
 final class SimulatorReply implements PolicyActions {
-    private static final int HEADER = 4;
-    private static final int LONGEST_TEXT = 1000;
+    private static final int HEADER_BYTES = Integer.BYTES;
+    private static final int RECORD_HEADER_BYTES = 2 * Short.BYTES;
+    private static final int INITIAL_BYTES = 1 << 16;
+    private static final int MAX_FAULT_TEXT_BYTES = 1000;
+    private static final double TICKS_PER_MILLISECOND = 10.0;
 
-    private ByteBuffer bytes = ByteBuffer.allocate(1 << 16);
+    private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BYTES);
     private int instance;
 
-    public void begin() {
-        bytes.clear().position(HEADER);
+    /** Begins the reply to the next batch. */
+    void begin() {
+        buffer.clear().position(HEADER_BYTES);
     }
 
-    public void instance(int number) {
-        instance = number;
+    /** Sets the instance that the following actions are of. */
+    void actFor(int newInstance) {
+        instance = newInstance;
     }
 
     void writeTo(OutputStream out) throws IOException {
-        bytes.putInt(0, bytes.position() - HEADER);
-        out.write(bytes.array(), 0, bytes.position());
+        buffer.putInt(0, buffer.position() - HEADER_BYTES);
+        out.write(buffer.array(), 0, buffer.position());
     }
 
-    void giveIn(String why) {
-        byte[] text = why.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(text.length, LONGEST_TEXT);
-        record(1090, 2 + length).putShort((short) length).put(text, 0, length);
+    /** Declares that the instance's decisions have failed; the simulator ends the run. */
+    void fault(String message) {
+        byte[] text = message.getBytes(StandardCharsets.UTF_8);
+        int length = Math.min(text.length, MAX_FAULT_TEXT_BYTES);
+        record(ActionCode.FAULT, Short.BYTES + length).putShort((short) length).put(text, 0, length);
     }
 
     @Override
     public void send(long tx, long endpoint, long timeout, long writtenBefore) {
-        record(1000, 16).putInt((int) tx).putInt((int) endpoint).putDouble(timeout / 10.0);
+        record(ActionCode.SEND, 2 * Integer.BYTES + Double.BYTES)
+                .putInt((int) tx)
+                .putInt((int) endpoint)
+                .putDouble(timeout / TICKS_PER_MILLISECOND);
     }
 
     @Override
     public void callOff(long tx, int attempt) {
-        record(1030, 5).putInt((int) tx).put((byte) attempt);
+        record(ActionCode.CANCEL, Integer.BYTES + Byte.BYTES).putInt((int) tx).put((byte) attempt);
     }
 
     @Override
     public void rollBack(long tx, long pause, RejectionReason why) {
-        record(1010, 12).putInt((int) tx).putDouble(pause / 10.0);
+        record(ActionCode.REJECT, Integer.BYTES + Double.BYTES)
+                .putInt((int) tx)
+                .putDouble(pause / TICKS_PER_MILLISECOND);
     }
 
     @Override
     public void abandon(long tx, RejectionReason why) {
-        record(1020, 4).putInt((int) tx);
+        record(ActionCode.FAIL, Integer.BYTES).putInt((int) tx);
     }
 
     @Override
     public void wake(long span) {
-        record(1040, 16).putDouble(span / 10.0).putLong(0);
+        record(ActionCode.SET_TIMER, Double.BYTES + Long.BYTES)
+                .putDouble(span / TICKS_PER_MILLISECOND)
+                .putLong(0);
     }
 
     @Override
     public void subscribe() {
-        record(1100, 1).put((byte) 1);
+        record(ActionCode.WATCH, Byte.BYTES).put((byte) 1);
     }
 
-    private ByteBuffer record(int code, int size) {
-        if (bytes.remaining() < 4 + size) {
-            ByteBuffer larger = ByteBuffer.allocate(bytes.capacity() * 2);
-            bytes.flip();
-            larger.put(bytes);
-            bytes = larger;
+    /** Begins a record whose fields take this many bytes. */
+    private ByteBuffer record(ActionCode action, int fieldBytes) {
+        if (buffer.remaining() < RECORD_HEADER_BYTES + fieldBytes) {
+            ByteBuffer larger = ByteBuffer.allocate(buffer.capacity() * 2);
+            buffer.flip();
+            larger.put(buffer);
+            buffer = larger;
         }
-        return bytes.putShort((short) code).putShort((short) instance);
+        return buffer.putShort(action.code).putShort((short) instance);
     }
 }
--- a/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
+++ b/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
@@ -74,7 +74,7 @@
         }
         settings.append(String.join("\n", further));
         balance = new LoadBalancer(
-                PolicySettingsReader.ofLines(settings.toString()).terms(), seed, this, lease);
+                PolicySettingsReader.ofLines(settings.toString()).read(), seed, this, lease);
         balance.start(now);
     }
 
--- a/sidecar/src/test/java/trestlegrade/policy/SlowStartFleetTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/SlowStartFleetTest.java
@@ -99,7 +99,7 @@
                     safety.cold=9000
                     safety.fall_multiple=2
                     safety.fall=2000""")
-                            .terms(),
+                            .read(),
                     random.nextLong(),
                     this);
             balance.start(now);
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -247,7 +247,7 @@
             generation++;
             out.clear();
             balance = new LoadBalancer(
-                    PolicySettingsReader.ofLines(scenario.settings(number)).terms(), seed, this, lease);
+                    PolicySettingsReader.ofLines(scenario.settings(number)).read(), seed, this, lease);
             balance.start(now);
             list(again);
         }
--- a/sidecar/src/test/java/trestlegrade/policy/retry/DiscoveryBackoffTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/retry/DiscoveryBackoffTest.java
@@ -38,7 +38,7 @@
                 profiles.0.service_goal=500
                 profiles.0.hard_limit=1000
                 profiles.0.effect=repeatable
-                """).terms(), seed);
+                """).read(), seed);
     }
 
     /** When each of them has its list; they call at once first, or each in its time. */
