--- a/lab/src/main/java/trestlegrade/lab/cost/StandIns.java
+++ b/lab/src/main/java/trestlegrade/lab/cost/StandIns.java
@@ -92,8 +92,12 @@
         String entries = IntStream.range(0, ENDPOINTS)
                 .mapToObj(endpoint -> entry(endpoint, 1.0))
                 .collect(Collectors.joining(","));
-        write(out, "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entries + "]}\n");
-        watch = out;
+        // Whoever has read the list may send an update at once: the watch is known before, and updates wait behind the
+        // list.
+        synchronized (out) {
+            watch = out;
+            write(out, "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entries + "]}\n");
+        }
         while (true) {
             Thread.sleep(KEEPALIVE_MILLIS);
             write(out, "\n");
