--- a/sidecar/src/main/java/trestlegrade/Main.java
+++ b/sidecar/src/main/java/trestlegrade/Main.java
@@ -8,7 +8,8 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
-import trestlegrade.runtime.Sidecar;
+import trestlegrade.runtime.SidecarProcess;
+import trestlegrade.runtime.StartupCheck;
 import trestlegrade.simulator.MalformedFrameException;
 import trestlegrade.simulator.SimulatorAdapter;
 
@@ -53,7 +54,8 @@
             mixinStandardHelpOptions = true,
             description = "Serves as one sidecar, as the file that LB_CONFIG names says, until SIGTERM.")
     public int serve() {
-        return Sidecar.serve(System.getenv()) ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
+        SidecarProcess.serve(System.getenv());
+        return CommandLine.ExitCode.SOFTWARE;
     }
 
     @Command(
@@ -61,7 +63,13 @@
             mixinStandardHelpOptions = true,
             description = "Starts a sidecar on a free port of loopback until it is ready: does it work here?")
     public int rehearse() {
-        return Sidecar.rehearse() ? CommandLine.ExitCode.OK : CommandLine.ExitCode.SOFTWARE;
+        try {
+            System.out.println("rehearse: ready after " + StartupCheck.run() + " transactions");
+            return CommandLine.ExitCode.OK;
+        } catch (Exception e) {
+            System.err.println("rehearse: " + e);
+            return CommandLine.ExitCode.SOFTWARE;
+        }
     }
 
     public static void main(String[] args) {
--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
@@ -310,7 +310,7 @@
             boolean scoped = line.getValue("snapshot", false) instanceof Boolean;
             if (line.getValue("endpoints") instanceof JsonArray entries) {
                 // One that does not say whether it is whole must not drop what it leaves out.
-                desk.listed(entries, scoped && line.getBoolean("snapshot", false));
+                desk.applyEndpointList(entries, scoped && line.getBoolean("snapshot", false));
                 if (indexed && scoped) {
                     version = line.getLong("index");
                     return;
@@ -358,7 +358,7 @@
                     watch();
                 } else if (current == null) {
                     notBefore = heardLines > 0 ? opened + apart : 0;
-                    desk.listFailed();
+                    desk.endpointListWatchFailed();
                 }
             }
         }
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
@@ -205,7 +205,7 @@
         long deadline = Math.min(LONGEST, commission.longestDeadline());
         long answered = Math.max(deadline, LINGER) + LAST_WORDS;
         lastAnswer = clock.now() + answered * 10;
-        desk.endBy(lastAnswer);
+        desk.drainBy(lastAnswer);
         vertx.setTimer(LINGER, t -> lingered = true);
         vertx.setTimer(Math.max(LINGER, answered + LAST_WORDS - commission.longestGoal() / 2), t -> close());
         vertx.setTimer(deadline + KILLED - HALT, t -> ended.run());
@@ -385,9 +385,9 @@
             }
             if (client.carried() == 1 && descriptors.awaitedLately()) {
                 // It may have waited in the listener's queue, and its client's end with it: that is read a turn later.
-                lateness.afterReading(() -> desk.arrived(exchange));
+                lateness.afterReading(() -> desk.requestArrived(exchange));
             } else {
-                desk.arrived(exchange);
+                desk.requestArrived(exchange);
             }
         }
     }
@@ -400,7 +400,7 @@
 
     private void left(InboundRequest exchange) {
         traces.remove(exchange.head.get("X-Trace-Id"));
-        desk.clientLeft(exchange);
+        desk.clientDisconnected(exchange);
     }
 
     private void malformed(HttpServerRequest request) {
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import trestlegrade.metrics.Counters;
 import trestlegrade.outbound.OutboundAttempt;
-import trestlegrade.runtime.PolicyExecutor;
+import trestlegrade.runtime.PolicyGeneration;
 
 /** One transaction with its client: what goes on unchanged, what the decisions need, and its one answer. */
 public final class InboundRequest {
@@ -42,7 +42,7 @@
     /** Given at the desk; 0 before. */
     public long id;
     /** Under which it was taken; it ends under the same. */
-    public PolicyExecutor.Tenure tenure;
+    public PolicyGeneration generation;
 
     private final Client client;
     private BodyMemoryBudget.Claim claim;
--- a/sidecar/src/main/java/trestlegrade/metrics/Counters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/Counters.java
@@ -39,9 +39,9 @@
     public long rolledBack;
     public long abandoned;
     public long clientsLeft;
-    public long sent;
-    public long connects;
-    public long noDescriptor;
+    public long attemptsSent;
+    public long connectionsRequested;
+    public long descriptorsExhausted;
     public long listLines;
     public long watches;
     public long badLines;
@@ -53,9 +53,9 @@
     private volatile long acceptFailureLogged = System.nanoTime() - ACCEPT_FAILURES_LOGGED_EVERY;
     private static final long ACCEPT_FAILURES_LOGGED_EVERY = 1_000_000_000;
     /** Tenths of a millisecond, to two digits up to a minute. */
-    public final Histogram attemptTook = new Histogram(600_000, 2);
+    public final Histogram attemptDurationTicks = new Histogram(600_000, 2);
 
-    public final Histogram loopLate = new Histogram(600_000, 2);
+    public final Histogram loopLagTicks = new Histogram(600_000, 2);
     private final Map<AttemptOutcome, Long> attempts = new EnumMap<>(AttemptOutcome.class);
     private final Map<Integer, Long> rejected = new TreeMap<>();
     private final Map<String, Long> connectionsEnded = new TreeMap<>();
@@ -70,6 +70,11 @@
         attempts.merge(outcome, 1L, Long::sum);
     }
 
+    /** How long a committed attempt took; what is over the histogram's limit counts as that. */
+    public void recordAttemptDuration(long ticks) {
+        attemptDurationTicks.recordValue(Math.min(ticks, attemptDurationTicks.getHighestTrackableValue()));
+    }
+
     public void rejected(int status) {
         rejected.merge(status, 1L, Long::sum);
     }
@@ -127,10 +132,10 @@
                 .put("abandoned", abandoned)
                 .put("clients_left", clientsLeft)
                 .put("rejected", rejections)
-                .put("attempts_sent", sent)
+                .put("attempts_sent", attemptsSent)
                 .put("attempts_ended", ends)
-                .put("connects", connects)
-                .put("no_descriptor", noDescriptor)
+                .put("connects", connectionsRequested)
+                .put("no_descriptor", descriptorsExhausted)
                 .put("connections_ended", codes)
                 .put("list_lines", listLines)
                 .put("watches", watches)
@@ -143,7 +148,7 @@
                 .put("refused", refusals.report())
                 .put("now", gauges())
                 .put("log_lines_dropped", log.dropped())
-                .put("attempt_ms", milliseconds(attemptTook))
-                .put("loop_late_ms", milliseconds(loopLate));
+                .put("attempt_ms", milliseconds(attemptDurationTicks))
+                .put("loop_late_ms", milliseconds(loopLagTicks));
     }
 }
--- a/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
@@ -1,413 +1,296 @@
 package trestlegrade.outbound;
 
-import com.carrotsearch.hppc.LongObjectHashMap;
 import io.netty.handler.codec.http.HttpUtil;
 import io.vertx.core.Vertx;
-import io.vertx.core.internal.net.NetSocketInternal;
-import io.vertx.core.net.ConnectOptions;
-import io.vertx.core.net.NetClient;
-import io.vertx.core.net.NetClientOptions;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Deque;
-import java.util.Iterator;
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.discovery.EndpointRegistry.Endpoint;
 import trestlegrade.inbound.BodyMemoryBudget;
-import trestlegrade.inbound.DescriptorBudget;
 import trestlegrade.metrics.Counters;
 import trestlegrade.policy.request.AttemptOutcome;
-import trestlegrade.runtime.EventLoopLag;
+import trestlegrade.runtime.EventLoopContext;
 import trestlegrade.runtime.MonotonicClock;
 
 /**
- * Carries attempts to endpoints, one at a time on a connection, and tells how each ended. Connections are this class's
- * own: no library may send an attempt again, queue it behind another or pick its connection.
+ * Sends attempts to endpoints, one at a time on a connection, and reports the outcome of each. It uses no HTTP client
+ * of a library: that could send an attempt again, queue it behind another or choose its connection. All calls are on
+ * the event loop.
  */
-public final class AttemptSender implements PooledConnection.Owner {
+public final class AttemptSender implements ConnectionPool.Listener {
 
-    /** Who is told that an attempt has ended; never called from inside {@link #send} or {@link #callOff}. */
-    public interface Ends {
+    /** Told of outcomes, also from inside {@link #send} and {@link #cancel}; it must not call back at once. */
+    public interface OutcomeListener {
+        /** Called once for each attempt. */
         void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome);
     }
 
+    /**
+     * How long a connection is left alone behind a response: longer than endpoints take to close it or to send a second
+     * response.
+     */
+    public static final int QUARANTINE_MILLIS = 30;
+
+    /** Of the heap; the bodies of requests have as much, and the rest is for large endpoint lists. */
+    private static final double RESPONSE_BODIES_HEAP_FRACTION = 0.3;
+
+    /** A connection that took so many times its timeout met a stall of this process, not a slow endpoint. */
+    private static final int STALLED_CONNECT_TIMEOUTS = 2;
+
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_UNAVAILABLE = 503;
+    private static final int STATUS_GATEWAY_TIMEOUT = 504;
+
     private final Vertx vertx;
+    private final EventLoopContext loop;
     private final MonotonicClock clock;
     private final Counters counters;
-    private final EventLoopLag lateness;
-    private final int settled;
-    private final Ends ends;
-    private final NetClient client;
-    private final LongObjectHashMap<Deque<PooledConnection>> idle = new LongObjectHashMap<>();
-    private long connectWithin;
-    private long idleFor;
-    private final DescriptorBudget descriptors;
-    private final BodyMemoryBudget answers = BodyMemoryBudget.ofHeap(ANSWERS);
-    private final long sweeper;
+    private final OutcomeListener outcomeListener;
+    private final ConnectionPool pool;
+    private final BodyMemoryBudget responseBodies = BodyMemoryBudget.ofHeap(RESPONSE_BODIES_HEAP_FRACTION);
 
+    /** A sender without connections; for the quarantine see {@link ConnectionPool#release}. */
     public AttemptSender(
-            Vertx vertx,
-            MonotonicClock clock,
+            EventLoopContext loop,
             Counters counters,
-            EventLoopLag lateness,
-            Ends ends,
-            SidecarConfig commission,
-            int settled) {
-        this.vertx = vertx;
-        this.clock = clock;
+            OutcomeListener outcomeListener,
+            SidecarConfig config,
+            int quarantineMillis) {
+        this.loop = loop;
         this.counters = counters;
-        this.lateness = lateness;
-        this.settled = settled;
-        this.ends = ends;
-        descriptors = DescriptorBudget.forAttempts(commission.sockets());
-        adopt(commission);
-        trusted = idleFor;
-        client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
-        sweeper = vertx.setPeriodic(SWEEP, t -> sweep());
+        this.outcomeListener = outcomeListener;
+        vertx = loop.vertx();
+        clock = loop.clock();
+        pool = new ConnectionPool(loop, counters, this, config, quarantineMillis);
     }
 
-    /** New settings: for connections from now on, and for how long those that are open may stand idle. */
-    public void adopt(SidecarConfig commission) {
-        connectWithin = Math.max(1, commission.connectWithin() / 10);
-        // A fifth of the endpoint's own time is left for what is under way and for a late event loop.
-        idleFor = commission.idleFor() * 4 / 5;
+    /** New settings: for connections from now on, and for how long those that are open may be idle. */
+    public void reload(SidecarConfig config) {
+        pool.reload(config);
     }
 
-    // Much finer than the fifth above at any idle time of seconds.
-    private static final long SWEEP = 500;
+    /** Bytes that the bodies of responses hold. */
+    public long responseBodyBytes() {
+        return responseBodies.held();
+    }
 
-    // Of the heap; as much is for the bodies of requests, and the rest is what a sidecar with large lists needs.
-    private static final double ANSWERS = 0.3;
+    /** Connections to endpoints that are open or being opened. */
+    public int connections() {
+        return pool.size();
+    }
 
-    /** Bytes that the bodies of answers hold. */
-    public long answerBytes() {
-        return answers.held();
+    /** Closes the idle connections to an endpoint that left, drains, moved or started anew. */
+    public void closeOutdated(Endpoint endpoint) {
+        pool.closeOutdated(endpoint);
     }
 
-    /** Connections to endpoints that are open or coming up. */
-    public int connections() {
-        return descriptors.held();
+    /** No more attempts: closes all idle connections. */
+    public void close() {
+        pool.close();
     }
 
-    /** Starts an attempt; the timeout is in tenths of a millisecond. */
-    public void send(OutboundAttempt attempt, long timeout) {
-        if (timeout <= 0 || !attempt.endpoint.active || clock.now() >= attempt.writtenBefore) {
+    /** Starts an attempt; with a timeout of 0 or less it ends as not sent. */
+    public void send(OutboundAttempt attempt, long timeoutTicks) {
+        if (timeoutTicks <= 0 || !attempt.endpoint.active || clock.now() >= attempt.writeBeforeTicks) {
             settle(attempt, AttemptOutcome.NOT_SENT);
             return;
         }
-        attempt.timer = vertx.setTimer(Math.max(1, (timeout + 9) / 10), t -> {
-            attempt.timer = -1;
+        attempt.timeoutTimer = vertx.setTimer(roundUpToMillis(timeoutTicks), t -> {
+            attempt.timeoutTimer = OutboundAttempt.NO_TIMER;
             settle(attempt, AttemptOutcome.TIMED_OUT);
         });
-        PooledConnection connection = idleConnection(attempt);
+        PooledConnection connection = pool.takeIdle(attempt);
         if (connection != null) {
             write(attempt, connection);
-        } else if (!descriptors.full() || closeOneIdle()) {
-            connect(attempt);
+        } else if (pool.makeRoom()) {
+            pool.connect(attempt);
         } else {
-            counters.noDescriptor++;
+            counters.descriptorsExhausted++;
             settle(attempt, AttemptOutcome.NOT_SENT);
         }
     }
 
-    /** At the end of its transaction it has timed out, whichever comes first, this or its timer. */
-    public void callOff(OutboundAttempt attempt) {
-        settle(attempt, clock.now() < attempt.exchange.end ? AttemptOutcome.CALLED_OFF : AttemptOutcome.TIMED_OUT);
+    private static long roundUpToMillis(long ticks) {
+        return Math.max(1, (ticks + MonotonicClock.TICKS_PER_MILLI - 1) / MonotonicClock.TICKS_PER_MILLI);
     }
 
-    /** Idle connections to an endpoint that left, drains or started anew are of no more use. */
-    public void outdated(Endpoint endpoint) {
-        dropIdle(endpoint, "gone", Long.MAX_VALUE);
-        if (!endpoint.active) {
-            idle.remove(endpoint.id);
-        }
-    }
-
-    // -------------------------------------------------- connections
-
-    /** The one used last, for the others grow old and are dropped, so that no more stay than are needed. */
-    private PooledConnection idleConnection(OutboundAttempt attempt) {
-        Deque<PooledConnection> free = idle.get(attempt.endpoint.id);
-        long now = clock.now();
-        boolean repeatable = attempt.exchange.repeatable;
-        if (free != null) {
-            for (Iterator<PooledConnection> each = free.descendingIterator(); each.hasNext(); ) {
-                PooledConnection connection = each.next();
-                if (connection.closed || connection.reason != null || now - connection.idleSince > idleFor) {
-                    each.remove();
-                    connection.close("idle");
-                } else if (connection.rested && (repeatable || now - connection.idleSince < trusted)) {
-                    each.remove();
-                    return connection;
-                }
-            }
-        }
-        return null;
-    }
-
-    /**
-     * Endpoints may end idle connections sooner than they say, and an attempt written then may have run. Once one broke
-     * at once on a connection that had been idle, attempts that may not be repeated are trusted to those idle for half
-     * as long.
-     */
-    private void brokeAt(PooledConnection connection) {
-        if (connection.carried > 1 && clock.now() - connection.attempt.sent < AT_ONCE) {
-            trusted = Math.max(20 * SETTLED, Math.min(trusted, (connection.attempt.sent - connection.idleSince) / 2));
-        }
+    /** Ends an attempt; at its request's deadline as timed out, for its own timer may come just behind this. */
+    public void cancel(OutboundAttempt attempt) {
+        settle(attempt, clock.now() < attempt.request.end ? AttemptOutcome.CALLED_OFF : AttemptOutcome.TIMED_OUT);
     }
 
-    // Five milliseconds: an endpoint that has begun on an attempt breaks later than one that had closed the connection.
-    private static final long AT_ONCE = 50;
-    // At each sweep: doubled in seven seconds without a further break.
-    private static final double TRUST_GROWS = 1.05;
-    private long trusted;
-
-    // Milliseconds. Of 520 connections closed behind an answer, nine in ten were within 23 ms of it and none later than
-    // 26; an attempt written meanwhile may have run. A second answer comes some milliseconds late as well, and an
-    // attempt that is out by then would be given it for its own, whether it may be repeated or not.
-    public static final int SETTLED = 30;
-
-    private void connect(OutboundAttempt attempt) {
-        descriptors.take();
-        counters.connects++;
-        Endpoint endpoint = attempt.endpoint;
-        long asked = clock.now();
-        client.connect(new ConnectOptions().setRemoteAddress(endpoint.address).setTimeout((int) connectWithin))
-                .onComplete(up -> {
-                    if (up.failed()) {
-                        descriptors.giveBack();
-                        counters.ended("pooled", "connect-failed", endpoint.name, 0, clock.now() - asked);
-                        settle(attempt, AttemptOutcome.NO_CONNECTION);
-                        return;
-                    }
-                    PooledConnection connection =
-                            new PooledConnection(endpoint, (NetSocketInternal) up.result(), clock.now(), this);
-                    connection.whenClosed(() -> closed(connection));
-                    lateness.caughtUp(() -> connected(attempt, connection, asked));
-                });
+    @Override
+    public void connectFailed(OutboundAttempt attempt) {
+        settle(attempt, AttemptOutcome.NO_CONNECTION);
     }
 
     /**
-     * Whatever came while the connection did: the attempt was ended, its transaction has its answer or its client left
-     * (the decisions call attempts off only where that is allowed, but of this one nothing is written yet), or the list
-     * said that the endpoint drains.
+     * Checks again what may have changed while the connection was opened: the attempt may have ended, its client may
+     * have left, the endpoint list may say that the endpoint drains or be too old.
      */
-    private void connected(OutboundAttempt attempt, PooledConnection connection, long asked) {
+    @Override
+    public void connected(OutboundAttempt attempt, PooledConnection connection) {
         if (!connection.endpoint.active) {
-            connection.close("gone");
+            connection.close(ConnectionEnd.ENDPOINT_OUTDATED);
             settle(attempt, AttemptOutcome.NOT_SENT);
         } else if (connection.closed) {
             settle(attempt, AttemptOutcome.NO_CONNECTION);
         } else if (attempt.ended) {
-            release(connection);
-        } else if (!attempt.exchange.wanted()
-                || clock.now() >= attempt.writtenBefore
-                || clock.now() - asked > 20 * connectWithin) {
-            // Or the list has grown too old meanwhile, or the loop stood still, which is not the endpoint's doing.
+            pool.release(connection);
+        } else if (!attempt.request.wanted()
+                || clock.now() >= attempt.writeBeforeTicks
+                || clock.now() - connection.requestedTicks > stalledConnectTicks()) {
             settle(attempt, AttemptOutcome.NOT_SENT);
-            release(connection);
+            pool.release(connection);
         } else {
             write(attempt, connection);
         }
     }
 
-    private void closed(PooledConnection connection) {
-        descriptors.giveBack();
-        connection.closed = true;
-        String code = connection.reason != null
-                ? connection.reason
-                : connection.attempt == null ? "endpoint-closed" : "broken";
-        counters.ended("pooled", code, connection.endpoint.name, connection.carried, clock.now() - connection.opened);
-        Deque<PooledConnection> free = idle.get(connection.endpoint.id);
-        if (free != null) {
-            free.remove(connection);
-        }
-        if (connection.attempt != null) {
-            brokeAt(connection);
-            connection.reason = code;
-            settle(connection.attempt, AttemptOutcome.BROKEN);
-        }
-    }
-
-    private void release(PooledConnection connection) {
-        connection.attempt = null;
-        if (connection.closed || connection.reason != null) {
-            return;
-        }
-        if (!connection.endpoint.active) {
-            connection.close("gone");
-            return;
-        }
-        connection.idleSince = clock.now();
-        Deque<PooledConnection> free = idle.get(connection.endpoint.id);
-        if (free == null) {
-            free = new ArrayDeque<>();
-            idle.put(connection.endpoint.id, free);
-        }
-        free.addLast(connection);
-        // Endpoints close connections behind an answer, or send more than one: an attempt written before that has been
-        // read is lost, or gets another's answer. What has come by the first timer is read before the second.
-        acknowledges = acknowledges && connection.acknowledge();
-        connection.rested = connection.carried == 0;
-        int answer = ++connection.rests;
-        vertx.setTimer(settled, t -> vertx.setTimer(1, u -> connection.rested |= connection.rests == answer));
-    }
-
-    /** Until the system refuses it once: to be refused behind each answer would cost as much as to be heard. */
-    private boolean acknowledges = true;
-
-    /** Closes the connections that have stood idle since before the time given. */
-    private void dropIdle(Endpoint endpoint, String why, long before) {
-        Deque<PooledConnection> free = idle.get(endpoint.id);
-        while (free != null && !free.isEmpty() && free.peekFirst().idleSince < before) {
-            free.pollFirst().close(why);
-        }
-    }
-
-    /** Makes room by giving up an idle connection. */
-    private boolean closeOneIdle() {
-        for (var each : idle) {
-            PooledConnection connection = each.value.pollFirst();
-            if (connection != null) {
-                connection.close("room");
-                return true;
-            }
-        }
-        return false;
+    private long stalledConnectTicks() {
+        return STALLED_CONNECT_TIMEOUTS * MonotonicClock.TICKS_PER_MILLI * pool.connectTimeoutMillis();
     }
 
-    private void sweep() {
-        long now = clock.now();
-        trusted = Math.min(idleFor, (long) (trusted * TRUST_GROWS));
-        for (var each : idle) {
-            while (!each.value.isEmpty() && now - each.value.peekFirst().idleSince > idleFor) {
-                each.value.pollFirst().close("idle");
-            }
-        }
-    }
-
-    // -------------------------------------------------- attempts
-
     private void write(OutboundAttempt attempt, PooledConnection connection) {
         attempt.connection = connection;
-        attempt.memory = answers.claim();
-        counters.sent++;
+        attempt.responseMemory = responseBodies.claim();
+        counters.attemptsSent++;
         attempt.written = connection.write(attempt, clock.now());
-        attempt.written.onFailure(e -> spoilt(attempt, "broken"));
+        attempt.written.onFailure(e -> responseFailed(attempt, ConnectionEnd.BROKEN));
+    }
+
+    @Override
+    public void connectionLost(OutboundAttempt attempt) {
+        settle(attempt, AttemptOutcome.BROKEN);
     }
 
     @Override
-    public void answered(OutboundAttempt attempt) {
-        int status = attempt.head.status().code();
-        boolean neverRan = (status == 503 || status == 504)
-                && "1".equals(attempt.head.headers().get("X-Never-Ran"));
+    public void responseCompleted(OutboundAttempt attempt) {
         PooledConnection connection = attempt.connection;
-        settle(
-                attempt,
-                status == 200
-                        ? AttemptOutcome.COMMITTED
-                        : neverRan ? AttemptOutcome.TURNED_AWAY : AttemptOutcome.ERROR);
-        if (!HttpUtil.isKeepAlive(attempt.head)) {
-            connection.close("endpoint-closes");
+        settle(attempt, outcomeOfResponse(attempt));
+        if (!HttpUtil.isKeepAlive(attempt.responseHead)) {
+            connection.close(ConnectionEnd.CLOSE_ANNOUNCED);
         }
     }
 
+    private static AttemptOutcome outcomeOfResponse(OutboundAttempt attempt) {
+        int status = attempt.responseHead.status().code();
+        if (status == STATUS_OK) {
+            return AttemptOutcome.COMMITTED;
+        }
+        boolean neverRan = (status == STATUS_UNAVAILABLE || status == STATUS_GATEWAY_TIMEOUT)
+                && "1".equals(attempt.responseHead.headers().get("X-Never-Ran"));
+        return neverRan ? AttemptOutcome.TURNED_AWAY : AttemptOutcome.ERROR;
+    }
+
     @Override
-    public void spoilt(OutboundAttempt attempt, String why) {
+    public void responseFailed(OutboundAttempt attempt, ConnectionEnd end) {
         if (!attempt.ended) {
-            attempt.connection.close(why);
+            attempt.connection.close(end);
             settle(attempt, AttemptOutcome.BROKEN);
         }
     }
 
     /**
-     * An answer that goes on arriving may take its time, to the end of its transaction and 64 KiB; a part behind which
-     * nothing comes for as long as a connection may take is all there will be. One span from the first part on ended
-     * long answers on their way, and such as waited unread while the loop stood still.
+     * A response may arrive in parts until the deadline of its request. Only the gap behind the last part is bounded,
+     * by the time that a connection may take to open: a bound on the whole would end long responses that still arrive,
+     * and those that wait unread while the event loop stalls.
      */
     @Override
-    public void unfinished(OutboundAttempt attempt) {
-        attempt.heard = clock.now();
-        if (attempt.partTimer < 0) {
-            awaitRest(attempt, connectWithin);
+    public void responsePartReceived(OutboundAttempt attempt) {
+        attempt.lastPartTicks = clock.now();
+        if (attempt.progressTimer < 0) {
+            awaitNextPart(attempt, pool.connectTimeoutMillis());
         }
     }
 
-    private void awaitRest(OutboundAttempt attempt, long span) {
-        attempt.partTimer = vertx.setTimer(
-                span,
-                t -> lateness.caughtUp(() -> {
-                    long left = connectWithin - (clock.now() - attempt.heard) / 10;
-                    if (!attempt.ended && left > 0) {
-                        awaitRest(attempt, left);
-                    } else {
-                        spoilt(attempt, "unfinished");
-                    }
-                }));
+    private void awaitNextPart(OutboundAttempt attempt, long delayMillis) {
+        attempt.progressTimer = vertx.setTimer(delayMillis, t -> loop.lag().caughtUp(() -> checkProgress(attempt)));
     }
 
-    /**
-     * Ends an attempt. Whether it may have run is told by its last byte: with that not written the endpoint never began
-     * it. While the write is still open this waits one turn for the closed connection to fail it; what is unsure then
-     * may have run.
-     */
+    private void checkProgress(OutboundAttempt attempt) {
+        long sincePartMillis = (clock.now() - attempt.lastPartTicks) / MonotonicClock.TICKS_PER_MILLI;
+        long leftMillis = pool.connectTimeoutMillis() - sincePartMillis;
+        if (!attempt.ended && leftMillis > 0) {
+            awaitNextPart(attempt, leftMillis);
+        } else {
+            responseFailed(attempt, ConnectionEnd.UNFINISHED);
+        }
+    }
+
+    /** Ends an attempt, if it has not ended yet. */
     private void settle(OutboundAttempt attempt, AttemptOutcome outcome) {
         if (attempt.ended) {
             return;
         }
         attempt.ended = true;
-        vertx.cancelTimer(attempt.timer);
-        vertx.cancelTimer(attempt.partTimer);
-        if (attempt.memory != null && outcome != AttemptOutcome.COMMITTED) {
-            attempt.memory.release();
+        vertx.cancelTimer(attempt.timeoutTimer);
+        vertx.cancelTimer(attempt.progressTimer);
+        if (attempt.responseMemory != null && outcome != AttemptOutcome.COMMITTED) {
+            attempt.responseMemory.release();
         }
-        PooledConnection connection = attempt.connection;
-        boolean whole = attempt.written != null && attempt.written.succeeded();
-        boolean answered = outcome == AttemptOutcome.COMMITTED
-                || outcome == AttemptOutcome.TURNED_AWAY
-                || outcome == AttemptOutcome.ERROR;
-        if (connection != null) {
-            if (answered && whole) {
-                release(connection);
-            } else {
-                connection.close(
-                        switch (outcome) {
-                            case TIMED_OUT -> "timed-out";
-                            case CALLED_OFF -> "called-off";
-                            default -> answered ? "early-answer" : "broken";
-                        });
-                connection.attempt = null;
-            }
+        if (attempt.connection != null) {
+            freeConnection(attempt, outcome);
         }
-        if (outcome == AttemptOutcome.TIMED_OUT
-                || (outcome == AttemptOutcome.BROKEN
-                        && attempt.head == null
-                        && connection != null
-                        && "broken".equals(connection.reason))) {
-            // Those that have not answered since may lead to a silent machine, and a new one tells before
-            // anything is sent on it. To close all was half of all connections on an overloaded day.
-            dropIdle(attempt.endpoint, "suspect", attempt.sent);
+        if (endpointMayBeDead(attempt, outcome)) {
+            pool.closeSuspect(attempt.endpoint, attempt.sentTicks);
+        }
+        report(attempt, outcome);
+    }
+
+    /** A connection can carry another attempt only behind a complete request with a complete response. */
+    private void freeConnection(OutboundAttempt attempt, AttemptOutcome outcome) {
+        if (isResponse(outcome) && attempt.written != null && attempt.written.succeeded()) {
+            pool.release(attempt.connection);
+        } else {
+            attempt.connection.close(connectionEnd(outcome));
+            attempt.connection.attempt = null;
         }
-        if (!answered && attempt.written != null && !attempt.written.isComplete()) {
-            vertx.runOnContext(v -> ends.attemptEnded(attempt, attempt.written.failed() ? never(outcome) : outcome));
+    }
+
+    private static ConnectionEnd connectionEnd(AttemptOutcome outcome) {
+        return switch (outcome) {
+            case TIMED_OUT -> ConnectionEnd.TIMED_OUT;
+            case CALLED_OFF -> ConnectionEnd.CANCELLED;
+            case COMMITTED, TURNED_AWAY, ERROR -> ConnectionEnd.EARLY_RESPONSE;
+            case BROKEN, NO_CONNECTION, NOT_SENT -> ConnectionEnd.BROKEN;
+        };
+    }
+
+    /** Then idle connections may be dead as well; a new one proves that the machine is alive before it is written. */
+    private static boolean endpointMayBeDead(OutboundAttempt attempt, AttemptOutcome outcome) {
+        return outcome == AttemptOutcome.TIMED_OUT
+                || (outcome == AttemptOutcome.BROKEN
+                        && attempt.responseHead == null
+                        && attempt.connection != null
+                        && attempt.connection.end == ConnectionEnd.BROKEN);
+    }
+
+    /**
+     * Whether an attempt without a response may have run depends on its last byte: an endpoint that did not get that
+     * never began it. While the write is open this waits one turn, in which the closed connection fails it; what is
+     * undecided then may have run.
+     */
+    private void report(OutboundAttempt attempt, AttemptOutcome outcome) {
+        if (isResponse(outcome)) {
+            outcomeListener.attemptEnded(attempt, outcome);
+        } else if (attempt.written == null || attempt.written.failed()) {
+            outcomeListener.attemptEnded(attempt, neverWritten(outcome));
+        } else if (attempt.written.isComplete()) {
+            outcomeListener.attemptEnded(attempt, outcome);
         } else {
-            boolean unsent = !answered && (attempt.written == null || attempt.written.failed());
-            ends.attemptEnded(attempt, unsent ? never(outcome) : outcome);
+            vertx.runOnContext(v ->
+                    outcomeListener.attemptEnded(attempt, attempt.written.failed() ? neverWritten(outcome) : outcome));
         }
     }
 
-    private static AttemptOutcome never(AttemptOutcome outcome) {
+    private static boolean isResponse(AttemptOutcome outcome) {
+        return outcome == AttemptOutcome.COMMITTED
+                || outcome == AttemptOutcome.TURNED_AWAY
+                || outcome == AttemptOutcome.ERROR;
+    }
+
+    private static AttemptOutcome neverWritten(AttemptOutcome outcome) {
         return outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.CALLED_OFF
                 ? AttemptOutcome.NOT_SENT
                 : AttemptOutcome.NO_CONNECTION;
     }
-
-    /** No more attempts: ends all connections. */
-    public void close() {
-        vertx.cancelTimer(sweeper);
-        for (var each : idle) {
-            new ArrayList<>(each.value).forEach(connection -> connection.close("ended"));
-        }
-        client.close();
-    }
 }
--- a/sidecar/src/main/java/trestlegrade/outbound/OutboundAttempt.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/OutboundAttempt.java
@@ -7,36 +7,43 @@
 import trestlegrade.inbound.BodyMemoryBudget;
 import trestlegrade.inbound.InboundRequest;
 
-/** One attempt of a transaction, from the decision to send until its end has been told. */
+/** One attempt of a request, from the decision to send it until its outcome has been reported. */
 public final class OutboundAttempt {
-    public final InboundRequest exchange;
+    static final long NO_TIMER = -1;
+
+    public final InboundRequest request;
     public final int number;
     public final Endpoint endpoint;
-    public final long sent;
-    /** When it must have been written by, or not at all. */
-    public final long writtenBefore;
-
-    public PooledConnection connection;
-    /** What its answer's body holds; null until it is written. */
-    public BodyMemoryBudget.Claim memory;
-    /** Of the last byte; null until the attempt is handed to a connection. */
-    public Future<Void> written;
-    /** Of the answer; its body is null until it is whole. */
-    public HttpResponse head;
+    public final long sentTicks;
+    /** Once this time has come it must not be written any more. */
+    final long writeBeforeTicks;
 
-    public Buffer answer;
-    public long timer = -1;
-    /** Runs while a part of the answer has come, the last of it at {@code heard}. */
-    long partTimer = -1;
+    /** Null until it is handed to a connection. */
+    PooledConnection connection;
+    /** What the body of its response holds; null until it is handed to a connection. */
+    public BodyMemoryBudget.Claim responseMemory;
+    /** Completed with its last byte; null until it is handed to a connection. */
+    Future<Void> written;
+    /** Null until it has come. */
+    public HttpResponse responseHead;
+    /** Null until it is complete. */
+    public Buffer responseBody;
+    /** Ends it at its timeout. */
+    long timeoutTimer = NO_TIMER;
+    /** Set once a part of the response has come; ends it if nothing follows. */
+    long progressTimer = NO_TIMER;
 
-    public long heard;
-    public boolean ended;
+    long lastPartTicks;
+    /** Whether it has its outcome. */
+    boolean ended;
 
-    public OutboundAttempt(InboundRequest exchange, int number, Endpoint endpoint, long sent, long writtenBefore) {
-        this.exchange = exchange;
+    /** An attempt that has not been written yet; attempts of a request are numbered from 0. */
+    public OutboundAttempt(
+            InboundRequest request, int number, Endpoint endpoint, long sentTicks, long writeBeforeTicks) {
+        this.request = request;
         this.number = number;
         this.endpoint = endpoint;
-        this.sent = sent;
-        this.writtenBefore = writtenBefore;
+        this.sentTicks = sentTicks;
+        this.writeBeforeTicks = writeBeforeTicks;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/outbound/PooledConnection.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/PooledConnection.java
@@ -19,42 +19,54 @@
 import trestlegrade.inbound.HeaderRules;
 import trestlegrade.inbound.InboundHttpServer;
 
-/** One connection to an endpoint, which carries one attempt at a time and reads its answer. */
-final class PooledConnection implements ResponseReader.Reader {
+/** One connection to an endpoint, which carries one attempt at a time and reads its response. */
+final class PooledConnection implements ResponseReader.Listener {
 
-    /** Told how the attempt on a connection fares. */
-    interface Owner {
-        void answered(OutboundAttempt attempt);
+    /** Told of the response to the attempt on a connection. */
+    interface Listener {
+        /** Head and body are complete. */
+        void responseCompleted(OutboundAttempt attempt);
 
-        /** It may have run, and its connection is of no further use. */
-        void spoilt(OutboundAttempt attempt, String why);
+        /** The attempt may have run, and its connection is of no further use. */
+        void responseFailed(OutboundAttempt attempt, ConnectionEnd end);
 
-        /** A part of the answer has come. */
-        void unfinished(OutboundAttempt attempt);
+        /** A part of the response has come. */
+        void responsePartReceived(OutboundAttempt attempt);
     }
 
-    public final Endpoint endpoint;
-    public final long opened;
-    private final NetSocketInternal socket;
-    private final Owner owner;
-    private Buffer body;
-    long idleSince;
-    /** Whether the loop has looked for bytes some time after the last answer, and found none. */
-    public boolean rested;
+    /** Holds only for what has come when it is set, so it is set anew behind each response. */
+    private static final ChannelOption<Boolean> QUICK_ACK = NioChannelOption.of(ExtendedSocketOptions.TCP_QUICKACK);
 
-    public int rests;
-    public int carried;
-    public OutboundAttempt attempt;
-    /** Why it ends, once this side has decided that; else the endpoint did. */
-    public String reason;
+    final Endpoint endpoint;
+    /** When it was asked for. */
+    final long requestedTicks;
+    /** When it was open. */
+    final long openedTicks;
 
-    public boolean closed;
-
-    PooledConnection(Endpoint endpoint, NetSocketInternal socket, long opened, Owner owner) {
+    private final NetSocketInternal socket;
+    private final Listener listener;
+    private Buffer body;
+    /** When its last attempt ended. */
+    long idleSinceTicks;
+    /** Whether the event loop has looked for excess bytes some time after the last response, and found none. */
+    boolean quarantinePassed;
+
+    int quarantines;
+    int attemptsCarried;
+    /** The attempt in flight on it, or null. */
+    OutboundAttempt attempt;
+    /** Why this side ended it; null while it is open, and if the endpoint closed it. */
+    ConnectionEnd end;
+
+    boolean closed;
+
+    PooledConnection(
+            Endpoint endpoint, NetSocketInternal socket, long requestedTicks, long openedTicks, Listener listener) {
         this.endpoint = endpoint;
         this.socket = socket;
-        this.opened = opened;
-        this.owner = owner;
+        this.requestedTicks = requestedTicks;
+        this.openedTicks = openedTicks;
+        this.listener = listener;
         socket.channelHandlerContext()
                 .pipeline()
                 .addBefore("handler", "answers", new ResponseReader(this))
@@ -63,94 +75,103 @@
         socket.exceptionHandler(e -> {});
     }
 
-    /** The future is done with its last byte. */
-    public Future<Void> write(OutboundAttempt next, long now) {
+    /** Writes an attempt; the future completes with its last byte. */
+    Future<Void> write(OutboundAttempt next, long now) {
         attempt = next;
-        carried++;
-        return socket.writeMessage(HeaderRules.attempt(next.exchange, next.exchange.end - now));
+        attemptsCarried++;
+        return socket.writeMessage(HeaderRules.attempt(next.request, next.request.end - now));
     }
 
     /**
-     * Has the system acknowledge at once what was read; false if it can't. Where both sides speak in turn it waits with
-     * that for 40 ms or more, and an endpoint without TCP_NODELAY has what it writes behind an answer held back until
-     * then: a second answer came with the next attempt's bytes, and was taken for the answer to that.
+     * Has the system acknowledge at once what was read; false if it cannot.
+     *
+     * <p>Otherwise it delays that for 40 ms or more, and an endpoint without TCP_NODELAY holds back until then what it
+     * writes behind a response: a second response would come with the next attempt's bytes and be taken for the
+     * response to that.
      */
-    boolean acknowledge() {
+    boolean acknowledgeAtOnce() {
         Channel channel = socket.channelHandlerContext().channel();
         try {
-            return channel.config().setOption(AT_ONCE, true);
+            return channel.config().setOption(QUICK_ACK, true);
         } catch (ChannelException e) {
             return !channel.isOpen();
         }
     }
 
-    // Holds for what has come by then, so it is set anew behind each answer.
-    private static final ChannelOption<Boolean> AT_ONCE = NioChannelOption.of(ExtendedSocketOptions.TCP_QUICKACK);
-
     private void read(Object part) {
         try {
-            if (!awaits() || ((HttpObject) part).decoderResult().isFailure()) {
+            if (!awaitsResponse() || ((HttpObject) part).decoderResult().isFailure()) {
                 return;
             }
             if (part instanceof HttpResponse head) {
-                attempt.head = head;
-                body = Buffer.buffer();
-                if (HeaderRules.length(head.headers().get("Content-Length")) > InboundHttpServer.LONGEST_BODY) {
-                    owner.spoilt(attempt, "oversized");
-                }
+                readHead(head);
             } else if (part instanceof HttpContent content) {
-                if (body.length() + content.content().readableBytes() > InboundHttpServer.LONGEST_BODY) {
-                    owner.spoilt(attempt, "oversized");
-                    return;
-                }
-                if (!attempt.memory.grow(body.length() + content.content().readableBytes())) {
-                    owner.spoilt(attempt, "no-memory");
-                    return;
-                }
-                body.appendBuffer(BufferInternal.buffer(content.content()));
-                if (part instanceof LastHttpContent) {
-                    attempt.answer = body;
-                    body = null;
-                    owner.answered(attempt);
-                }
+                readContent(content);
             }
         } finally {
             ReferenceCountUtil.release(part);
         }
     }
 
+    private void readHead(HttpResponse head) {
+        attempt.responseHead = head;
+        body = Buffer.buffer();
+        if (HeaderRules.length(head.headers().get("Content-Length")) > InboundHttpServer.LONGEST_BODY) {
+            listener.responseFailed(attempt, ConnectionEnd.OVERSIZED);
+        }
+    }
+
+    private void readContent(HttpContent content) {
+        int length = body.length() + content.content().readableBytes();
+        if (length > InboundHttpServer.LONGEST_BODY) {
+            listener.responseFailed(attempt, ConnectionEnd.OVERSIZED);
+            return;
+        }
+        if (!attempt.responseMemory.grow(length)) {
+            listener.responseFailed(attempt, ConnectionEnd.NO_MEMORY);
+            return;
+        }
+        body.appendBuffer(BufferInternal.buffer(content.content()));
+        if (content instanceof LastHttpContent) {
+            attempt.responseBody = body;
+            body = null;
+            listener.responseCompleted(attempt);
+        }
+    }
+
     @Override
-    public boolean awaits() {
-        return attempt != null && attempt.answer == null && !attempt.ended && reason == null;
+    public boolean awaitsResponse() {
+        return attempt != null && attempt.responseBody == null && !attempt.ended && end == null;
     }
 
     @Override
-    public boolean bodiless() {
-        return attempt != null && attempt.exchange.method.equals("HEAD");
+    public boolean responseHasNoBody() {
+        return attempt != null && attempt.request.method.equals("HEAD");
     }
 
     @Override
-    public void excess() {
-        close("excess");
+    public void excessBytes() {
+        close(ConnectionEnd.EXCESS_BYTES);
     }
 
     @Override
-    public void spoilt() {
-        owner.spoilt(attempt, "spoilt");
+    public void malformedResponse() {
+        listener.responseFailed(attempt, ConnectionEnd.MALFORMED);
     }
 
     @Override
-    public void unfinished() {
-        owner.unfinished(attempt);
+    public void incompleteResponse() {
+        listener.responsePartReceived(attempt);
     }
 
     void whenClosed(Runnable then) {
         socket.closeHandler(v -> then.run());
     }
 
-    public void close(String why) {
-        if (reason == null) {
-            reason = why;
+    /** Closes it for the reason given, if this side has not closed it before. */
+    void close(ConnectionEnd reason) {
+        if (end == null) {
+            end = reason;
             socket.close();
         }
     }
--- a/sidecar/src/main/java/trestlegrade/outbound/ResponseReader.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ResponseReader.java
@@ -14,103 +14,112 @@
 import java.util.List;
 
 /**
- * Reads an endpoint's answers on one connection and takes nothing for an answer that is none: what comes while no
- * attempt is out belongs to nobody, and what cannot be read spoils the answer at its first bytes, not at a time-out.
+ * Decodes an endpoint's responses on one connection. Bytes that come while no attempt is in flight belong to no
+ * response; a response that cannot be parsed fails at its first bad bytes, not at the attempt's timeout.
  */
 final class ResponseReader extends HttpResponseDecoder {
 
-    /** The side that awaits them. */
-    interface Reader {
-        /** Whether an attempt is out whose answer is not whole yet. */
-        boolean awaits();
+    /** The connection that awaits the responses. */
+    interface Listener {
+        /** Whether an attempt is in flight whose response is not complete yet. */
+        boolean awaitsResponse();
 
-        /** Whether that attempt's answer is a head alone. */
-        boolean bodiless();
+        /** Whether the response to that attempt is a head alone. */
+        boolean responseHasNoBody();
 
-        /** Bytes beyond the answers. */
-        void excess();
+        /** Bytes have come that belong to no attempt. */
+        void excessBytes();
 
-        /** The answer cannot be read. */
-        void spoilt();
+        /** The response cannot be parsed. */
+        void malformedResponse();
 
-        /** All that has come so far was read, and the answer is not whole. */
-        void unfinished();
+        /** All that has come so far was read, and the response is not complete. */
+        void incompleteResponse();
     }
 
-    private static final byte[] START = {'H', 'T', 'T', 'P', '/', '1', '.'};
+    /** Where in the stream of responses the next byte stands. */
+    private enum State {
+        BETWEEN_RESPONSES,
+        IN_RESPONSE
+    }
+
+    private static final byte[] RESPONSE_START = {'H', 'T', 'T', 'P', '/', '1', '.'};
+    private static final int STATUS_SWITCHING_PROTOCOLS = 101;
 
-    private final Reader reader;
-    private boolean begun;
-    private boolean reset;
+    private final Listener listener;
+    private State state = State.BETWEEN_RESPONSES;
+    private boolean connectionReset;
 
-    ResponseReader(Reader reader) {
-        // Fields that cannot be written on are left out later (Heads): they do not spoil the answer.
+    ResponseReader(Listener listener) {
+        // HeaderRules leaves out fields that cannot be forwarded; they do not make a response malformed.
         super(new HttpDecoderConfig().setValidateHeaders(false));
-        this.reader = reader;
+        this.listener = listener;
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf bytes, List<Object> out) throws Exception {
-        if (!reader.awaits()) {
+        if (!listener.awaitsResponse()) {
             bytes.skipBytes(bytes.readableBytes());
-            reader.excess();
+            listener.excessBytes();
             return;
         }
-        if (!begun && !startsAsAnswer(bytes)) {
-            spoilt(bytes, out);
+        if (state == State.BETWEEN_RESPONSES && !startsAsResponse(bytes)) {
+            fail(bytes, out);
             return;
         }
         int before = out.size();
-        begun = true;
+        state = State.IN_RESPONSE;
         super.decode(context, bytes, out);
         for (int i = before; i < out.size(); i++) {
             HttpObject part = (HttpObject) out.get(i);
-            if (part.decoderResult().isFailure() || (part instanceof HttpResponse head && endless(head))) {
-                spoilt(bytes, out);
+            if (part.decoderResult().isFailure() || (part instanceof HttpResponse head && hasNoEnd(head))) {
+                fail(bytes, out);
                 return;
             }
             if (part instanceof HttpResponse head && head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                // Its empty end comes with it; the answer itself is still to come.
+                // Its empty body comes with it; the final response follows.
                 out.subList(before, out.size()).clear();
-                begun = false;
+                state = State.BETWEEN_RESPONSES;
                 return;
             }
-            begun &= !(part instanceof LastHttpContent);
+            if (part instanceof LastHttpContent) {
+                state = State.BETWEEN_RESPONSES;
+            }
         }
     }
 
-    /** A reset comes as this, and only behind it as the connection's end. */
+    /** A reset is reported by this first, and only then as the connection's end. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) throws Exception {
-        reset = true;
+        connectionReset = true;
         super.exceptionCaught(context, cause);
     }
 
     /**
-     * An answer without a length ends with its connection, but a reset is no end: what had come until then passed for
-     * the whole answer, and was committed cut short.
+     * A response without a length ends with its connection, but not with a reset: decoded to its end then, a truncated
+     * response would pass for a complete one and be committed.
      */
     @Override
     protected void decodeLast(ChannelHandlerContext context, ByteBuf bytes, List<Object> out) throws Exception {
-        if (reset) {
+        if (connectionReset) {
             bytes.skipBytes(bytes.readableBytes());
         } else {
             super.decodeLast(context, bytes, out);
         }
     }
 
-    private static boolean startsAsAnswer(ByteBuf bytes) {
-        for (int i = 0; i < Math.min(START.length, bytes.readableBytes()); i++) {
-            if (bytes.getByte(bytes.readerIndex() + i) != START[i]) {
+    private static boolean startsAsResponse(ByteBuf bytes) {
+        for (int i = 0; i < Math.min(RESPONSE_START.length, bytes.readableBytes()); i++) {
+            if (bytes.getByte(bytes.readerIndex() + i) != RESPONSE_START[i]) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Without a length, on a connection that is to stay open, nobody can tell where the answer ends. */
-    private boolean endless(HttpResponse head) {
-        return head.status().code() == 101
+    /** Without a length, on a connection that stays open, nobody can tell where the response ends. */
+    private boolean hasNoEnd(HttpResponse head) {
+        return head.status().code() == STATUS_SWITCHING_PROTOCOLS
                 || (HttpUtil.isKeepAlive(head)
                         && !HttpUtil.isContentLengthSet(head)
                         && !HttpUtil.isTransferEncodingChunked(head)
@@ -119,10 +128,10 @@
 
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage head) {
-        return reader.bodiless() || super.isContentAlwaysEmpty(head);
+        return listener.responseHasNoBody() || super.isContentAlwaysEmpty(head);
     }
 
-    /** Netty takes a line without a colon for a field by its first word. */
+    /** Rejects a line without a colon, which Netty would take for a field named by its first word. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
@@ -136,17 +145,17 @@
         throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 
-    private void spoilt(ByteBuf bytes, List<Object> out) {
+    private void fail(ByteBuf bytes, List<Object> out) {
         out.clear();
         bytes.skipBytes(bytes.readableBytes());
-        reader.spoilt();
+        listener.malformedResponse();
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) throws Exception {
         super.channelReadComplete(context);
-        if (begun && reader.awaits()) {
-            reader.unfinished();
+        if (state == State.IN_RESPONSE && listener.awaitsResponse()) {
+            listener.incompleteResponse();
         }
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/MonotonicClock.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/MonotonicClock.java
@@ -1,10 +1,21 @@
 package trestlegrade.runtime;
 
-/** Time in tenths of a millisecond: Unix time as it stood at the start, counted on without steps. */
+/**
+ * A clock that never steps: the Unix time at its creation, counted on by the monotonic timer.
+ *
+ * <p>Its unit is the <em>tick</em>, a tenth of a millisecond. Names of times in ticks end in {@code Ticks}, except for
+ * {@code now}.
+ */
 public class MonotonicClock {
-    private final long base = System.currentTimeMillis() * 10 - System.nanoTime() / 100_000;
+    /** Ticks in one millisecond. */
+    public static final long TICKS_PER_MILLI = 10;
 
+    private static final long NANOS_PER_TICK = 100_000;
+
+    private final long baseTicks = System.currentTimeMillis() * TICKS_PER_MILLI - System.nanoTime() / NANOS_PER_TICK;
+
+    /** The current time in ticks. */
     public long now() {
-        return base + System.nanoTime() / 100_000;
+        return baseTicks + System.nanoTime() / NANOS_PER_TICK;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -1,14 +1,8 @@
 package trestlegrade.runtime;
 
 import com.carrotsearch.hppc.LongObjectHashMap;
-import io.vertx.core.Context;
-import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonArray;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Queue;
-import java.util.concurrent.ConcurrentLinkedQueue;
-import java.util.concurrent.atomic.AtomicBoolean;
 import org.tinylog.Logger;
 import trestlegrade.discovery.EndpointRegistry;
 import trestlegrade.inbound.HeaderRules;
@@ -17,7 +11,6 @@
 import trestlegrade.outbound.AttemptSender;
 import trestlegrade.outbound.OutboundAttempt;
 import trestlegrade.policy.LoadBalancer;
-import trestlegrade.policy.PolicyActions;
 import trestlegrade.policy.endpoint.EndpointUpdate;
 import trestlegrade.policy.lease.EndpointListLease;
 import trestlegrade.policy.request.AttemptOutcome;
@@ -25,277 +18,248 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * The one task that owns the decisions. Socket code puts what happened into its queue; the task takes that in order,
- * with one time for each turn, and carries out what is decided. A transaction's final answer is given here too, so that
- * nothing can be sent for it afterwards.
+ * The one task that owns the decisions and the open transactions.
+ *
+ * <p>Socket code reports what happened; each report becomes an event of a {@link PolicyEventQueue}, is passed to the
+ * {@link LoadBalancer} of the transaction's {@link PolicyGeneration}, and the actions that this asks for are carried
+ * out here. Final answers are given here too, so that no attempt can be sent for a transaction behind its answer.
  */
 public final class PolicyExecutor {
-    private final Vertx vertx;
-    private final Context context;
-    private final MonotonicClock clock;
+    private final EventLoopContext loop;
     private final Counters counters;
-    private final EventLoopLag lateness;
     private final EndpointListLease lease;
-    private final Queue<Runnable> in = new ConcurrentLinkedQueue<>();
-    /** What the list says goes before all else: after a stall a transaction must not go by the old list. */
-    private final Queue<Runnable> list = new ConcurrentLinkedQueue<>();
+    private final PolicyEventQueue events;
+    private final PolicyGenerations generations;
+    private final LongObjectHashMap<InboundRequest> openRequests = new LongObjectHashMap<>();
 
-    private final AtomicBoolean called = new AtomicBoolean();
-    private final LongObjectHashMap<InboundRequest> open = new LongObjectHashMap<>();
-    /** The one that takes what arrives, and those before it that have transactions open. */
-    private Tenure tenure;
-
-    private final List<Tenure> earlier = new ArrayList<>();
-    private EndpointRegistry roster;
-    private AttemptSender attempts;
-    private Runnable watch;
-    private long now;
-    private long nextId;
+    private EndpointRegistry endpoints;
+    private AttemptSender attemptSender;
+    private Runnable endpointListWatch;
+    private long lastTransactionId;
 
+    /** An executor that takes events, which are run after {@link #start}. The seed is that of the decisions. */
     public PolicyExecutor(
-            Vertx vertx,
-            Context context,
-            MonotonicClock clock,
-            Counters counters,
-            EventLoopLag lateness,
-            PolicySettings terms,
-            long seed,
-            EndpointListLease lease) {
-        this.vertx = vertx;
-        this.context = context;
-        this.clock = clock;
+            EventLoopContext loop, Counters counters, PolicySettings settings, long seed, EndpointListLease lease) {
+        this.loop = loop;
         this.counters = counters;
-        this.lateness = lateness;
         this.lease = lease;
-        tenure = new Tenure(terms, seed);
+        events = new PolicyEventQueue(loop, e -> counters.log.add(() -> Logger.error(e, "desk code=fault")));
+        generations = new PolicyGenerations(new PolicyGeneration(this, settings, seed, lease));
     }
 
-    /** Begins with the list as it was last known; discovery is asked at once. */
-    public void start(EndpointRegistry roster, AttemptSender attempts, Runnable watch, JsonArray known) {
-        this.roster = roster;
-        this.attempts = attempts;
-        this.watch = watch;
-        put(list, () -> {
-            tenure.balance.start(now);
-            tenure.balance.listed(now, roster.take(known, true), true, true);
-            // Where changes are said to arrive on their own they still come by the watch.
-            watch.run();
+    /**
+     * Begins with the endpoint list as it was last known, and watches for a newer one at once.
+     *
+     * @param endpointListWatch starts a watch of the endpoint list unless one is open
+     * @param lastKnownList entries of the list that the configuration file gives
+     */
+    public void start(
+            EndpointRegistry endpoints,
+            AttemptSender attemptSender,
+            Runnable endpointListWatch,
+            JsonArray lastKnownList) {
+        this.endpoints = endpoints;
+        this.attemptSender = attemptSender;
+        this.endpointListWatch = endpointListWatch;
+        events.submitEndpointListEvent(() -> {
+            LoadBalancer loadBalancer = generations.current().loadBalancer();
+            loadBalancer.start(events.now());
+            loadBalancer.listed(events.now(), endpoints.take(lastKnownList, true), true, true);
+            // The load balancer asks for the watch in some membership modes only; the list comes by it in all.
+            endpointListWatch.run();
         });
     }
 
     /**
-     * New terms, for what arrives from now on: decisions of their own, which begin with the list as it stands. What is
-     * open ends under the terms that it was taken under, so no rule changes for it on its way.
+     * Uses new settings for all transactions that arrive from now on: a new generation begins with the endpoint list as
+     * it stands. Open transactions end under the settings that they were taken under.
+     *
+     * @param zoneName this sidecar's zone, or null where the settings name none
      */
-    public void adopt(PolicySettings terms, long seed, String zone) {
-        put(() -> {
-            Tenure before = tenure;
-            tenure = new Tenure(zone == null ? terms : terms.inZone(roster.zone(zone)), seed);
-            if (before.taken > 0) {
-                earlier.add(before);
-            }
-            tenure.balance.start(now);
-            tenure.balance.listed(now, roster.all(), true, true);
+    public void reload(PolicySettings settings, long seed, String zoneName) {
+        events.submit(() -> {
+            PolicySettings zoned = zoneName == null ? settings : settings.inZone(endpoints.zone(zoneName));
+            generations.replaceCurrent(new PolicyGeneration(this, zoned, seed, lease));
+            LoadBalancer loadBalancer = generations.current().loadBalancer();
+            loadBalancer.start(events.now());
+            loadBalancer.listed(events.now(), endpoints.all(), true, true);
         });
     }
 
-    // -------------------------------------------------- what has happened
-
-    public void arrived(InboundRequest exchange) {
-        put(() -> {
-            if (!exchange.wanted()) {
-                // Its client left while it waited here, or before it was read.
-                exchange.clientLeft(counters);
-                forgetIfOver(exchange);
+    /** A request has been read to its last byte. */
+    public void requestArrived(InboundRequest request) {
+        events.submit(() -> {
+            if (!request.wanted()) {
+                // Its client disconnected while it waited here, or before it was read.
+                request.clientLeft(counters);
+                forgetIfOver(request);
                 return;
             }
-            exchange.id = ++nextId;
-            open.put(exchange.id, exchange);
-            exchange.tenure = tenure;
-            tenure.taken++;
-            tenure.balance.arrived(
-                    now,
-                    exchange.id,
-                    exchange.profile,
-                    exchange.customer,
-                    exchange.key,
-                    exchange.end - now,
-                    exchange.cost);
-            forgetIfOver(exchange);
+            PolicyGeneration generation = generations.current();
+            request.id = ++lastTransactionId;
+            openRequests.put(request.id, request);
+            request.generation = generation;
+            generation.transactionTaken();
+            long now = events.now();
+            generation
+                    .loadBalancer()
+                    .arrived(
+                            now,
+                            request.id,
+                            request.profile,
+                            request.customer,
+                            request.key,
+                            request.end - now,
+                            request.cost);
+            forgetIfOver(request);
         });
     }
 
-    public void clientLeft(InboundRequest exchange) {
-        put(() -> {
-            leave(exchange);
-            forgetIfOver(exchange);
+    /** The client of a request has disconnected. */
+    public void clientDisconnected(InboundRequest request) {
+        events.submit(() -> {
+            cancelForClient(request);
+            forgetIfOver(request);
         });
     }
 
-    private void leave(InboundRequest exchange) {
-        if (!exchange.over()) {
-            exchange.clientLeft(counters);
-            if (exchange.tenure != null) {
-                exchange.tenure.balance.clientLeft(now, exchange.id);
-            }
+    private void cancelForClient(InboundRequest request) {
+        if (request.over()) {
+            return;
+        }
+        request.clientLeft(counters);
+        if (request.generation != null) {
+            request.generation.loadBalancer().clientLeft(events.now(), request.id);
         }
     }
 
+    /** An attempt has ended; each attempt is reported once. */
     public void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome) {
-        put(() -> {
-            InboundRequest exchange = attempt.exchange;
-            exchange.out--;
+        events.submit(() -> {
+            InboundRequest request = attempt.request;
+            request.out--;
             counters.attempt(outcome);
             if (outcome == AttemptOutcome.COMMITTED) {
-                exchange.commit(
-                                HeaderRules.onward(
-                                        attempt.head.headers(),
-                                        attempt.head.headers().get("Connection")),
-                                attempt.answer,
-                                counters)
-                        .onComplete(written -> attempt.memory.release());
-                counters.attemptTook.recordValue(
-                        Math.min(clock.now() - attempt.sent, counters.attemptTook.getHighestTrackableValue()));
+                commit(attempt);
             }
-            if (!exchange.wanted()) {
-                // Before the decisions think of a further attempt: that the client left may be told behind this.
-                leave(exchange);
+            if (!request.wanted()) {
+                // The event of the disconnect may stand behind this one; no retry may be decided on before it.
+                cancelForClient(request);
             }
-            exchange.tenure.balance.attemptEnded(
-                    now, exchange.id, attempt.number, outcome, clock.now() - attempt.sent, exchange.over());
-            forgetIfOver(exchange);
+            request.generation
+                    .loadBalancer()
+                    .attemptEnded(
+                            events.now(),
+                            request.id,
+                            attempt.number,
+                            outcome,
+                            loop.clock().now() - attempt.sentTicks,
+                            request.over());
+            forgetIfOver(request);
         });
     }
 
-    public void listed(JsonArray entries, boolean whole) {
-        put(list, () -> {
-            List<EndpointUpdate> rows = roster.take(entries, whole);
-            tenure.balance.listed(now, rows, whole, false);
-            earlier.forEach(each -> each.balance.listed(now, rows, whole, false));
+    private void commit(OutboundAttempt attempt) {
+        var headers = attempt.responseHead.headers();
+        attempt.request
+                .commit(HeaderRules.onward(headers, headers.get("Connection")), attempt.responseBody, counters)
+                .onComplete(written -> attempt.responseMemory.release());
+        counters.recordAttemptDuration(loop.clock().now() - attempt.sentTicks);
+    }
+
+    /**
+     * Discovery has brought a list, in the entries of its protocol.
+     *
+     * @param complete whether endpoints that it leaves out have left
+     */
+    public void applyEndpointList(JsonArray entries, boolean complete) {
+        events.submitEndpointListEvent(() -> {
+            List<EndpointUpdate> updates = endpoints.take(entries, complete);
+            long now = events.now();
+            generations.forEachLoadBalancer(each -> each.listed(now, updates, complete, false));
         });
     }
 
-    public void listFailed() {
-        put(list, () -> tenure.balance.listFailed(now));
+    /** The watch of the endpoint list has ended without a successor. */
+    public void endpointListWatchFailed() {
+        events.submitEndpointListEvent(
+                () -> generations.current().loadBalancer().listFailed(events.now()));
     }
 
-    /** All that has been taken has its final answer by then. */
-    public void endBy(long end) {
-        put(() -> {
-            tenure.balance.endBy(end);
-            earlier.forEach(each -> each.balance.endBy(end));
-        });
+    /** Graceful shutdown: each open transaction gets its final answer by then, a time in ticks. */
+    public void drainBy(long endTicks) {
+        events.submit(() -> generations.forEachLoadBalancer(each -> each.endBy(endTicks)));
     }
 
-    /** Transactions that still wait for their final answer or have attempts out. */
-    public int open() {
-        return open.size();
+    /** Transactions that wait for their final answer or have attempts in flight. */
+    public int openTransactions() {
+        return openRequests.size();
     }
 
     /** Transactions that the decisions still hold, under all settings in use. */
-    int decidedOn() {
-        return tenure.balance.held()
-                + earlier.stream().mapToInt(each -> each.balance.held()).sum();
+    int heldTransactions() {
+        return generations.heldTransactions();
     }
 
-    /** The settings in force, and those under which transactions are still open. */
-    int settingsInUse() {
-        return 1 + earlier.size();
+    /** The number of sets of settings in use: the current one, and those with transactions open. */
+    int generationCount() {
+        return generations.count();
     }
 
-    /**
-     * Called wherever an answer is given or an attempt ends, for either may be the last. Left to those who handle an
-     * arrival or an end, all that was given up while it waited stayed here for good, with its body.
-     */
-    private void forgetIfOver(InboundRequest exchange) {
-        if (!exchange.over() || exchange.out > 0) {
-            return;
-        }
-        exchange.release();
-        if (open.remove(exchange.id) != null && --exchange.tenure.taken == 0) {
-            earlier.remove(exchange.tenure);
-        }
+    // The actions that a generation's load balancer asks for, from inside its events.
+
+    void startAttempt(long transactionId, long endpointId, long timeoutTicks, long writeBeforeTicks) {
+        InboundRequest request = openRequests.get(transactionId);
+        OutboundAttempt attempt = new OutboundAttempt(
+                request,
+                request.attempts.size(),
+                endpoints.endpoint(endpointId),
+                loop.clock().now(),
+                writeBeforeTicks);
+        request.attempts.add(attempt);
+        request.out++;
+        attemptSender.send(attempt, request.wanted() ? timeoutTicks : 0);
     }
 
-    private void put(Runnable event) {
-        put(in, event);
+    void cancelAttempt(long transactionId, int attemptNumber) {
+        attemptSender.cancel(openRequests.get(transactionId).attempts.get(attemptNumber));
     }
 
-    private void put(Queue<Runnable> queue, Runnable event) {
-        queue.add(event);
-        if (called.compareAndSet(false, true)) {
-            context.runOnContext(v -> lateness.caughtUp(this::turn));
-        }
+    void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason) {
+        InboundRequest request = openRequests.get(transactionId);
+        counters.refusals.rolledBack(events.now(), request, reason);
+        request.rollBack(retryAfterTicks, counters);
+        forgetIfOver(request);
     }
 
-    private void turn() {
-        called.set(false);
-        now = Math.max(now, clock.now());
-        for (Runnable event = next(); event != null; event = next()) {
-            try {
-                event.run();
-            } catch (RuntimeException e) {
-                // One event that fails must not take the others with it; what is open still meets its limit.
-                counters.log.add(() -> Logger.error(e, "desk code=fault"));
-            }
-        }
+    void abandon(long transactionId, RejectionReason reason) {
+        InboundRequest request = openRequests.get(transactionId);
+        counters.refusals.abandoned(events.now(), request, reason);
+        request.abandon(counters);
+        forgetIfOver(request);
     }
 
-    private Runnable next() {
-        Runnable event = list.poll();
-        return event != null ? event : in.poll();
+    void scheduleWakeUp(LoadBalancer loadBalancer, long delayTicks) {
+        long delayMillis = Math.max(1, delayTicks / MonotonicClock.TICKS_PER_MILLI);
+        loop.vertx().setTimer(delayMillis, t -> events.submit(() -> loadBalancer.woken(events.now())));
     }
 
-    // -------------------------------------------------- what is decided
-
-    /** The decisions under one set of terms, from its start until the last transaction taken under it has ended. */
-    public final class Tenure implements PolicyActions {
-        private final LoadBalancer balance;
-        private int taken;
-
-        private Tenure(PolicySettings terms, long seed) {
-            balance = new LoadBalancer(terms, seed, this, lease);
-        }
-
-        @Override
-        public void send(long tx, long endpoint, long timeout, long writtenBefore) {
-            InboundRequest exchange = open.get(tx);
-            OutboundAttempt attempt = new OutboundAttempt(
-                    exchange, exchange.attempts.size(), roster.endpoint(endpoint), clock.now(), writtenBefore);
-            exchange.attempts.add(attempt);
-            exchange.out++;
-            attempts.send(attempt, exchange.wanted() ? timeout : 0);
-        }
-
-        @Override
-        public void callOff(long tx, int attempt) {
-            attempts.callOff(open.get(tx).attempts.get(attempt));
-        }
-
-        @Override
-        public void rollBack(long tx, long pause, RejectionReason why) {
-            InboundRequest exchange = open.get(tx);
-            counters.refusals.rolledBack(now, exchange, why);
-            exchange.rollBack(pause, counters);
-            forgetIfOver(exchange);
-        }
-
-        @Override
-        public void abandon(long tx, RejectionReason why) {
-            InboundRequest exchange = open.get(tx);
-            counters.refusals.abandoned(now, exchange, why);
-            exchange.abandon(counters);
-            forgetIfOver(exchange);
-        }
+    void watchEndpointList() {
+        endpointListWatch.run();
+    }
 
-        @Override
-        public void wake(long span) {
-            vertx.setTimer(Math.max(1, span / 10), t -> put(() -> balance.woken(now)));
+    /**
+     * Forgets a request that has its answer and no attempt in flight. Called wherever an answer is given or an attempt
+     * ends, for either may come last: a request rejected from a timer, with no call here, would stay with its body for
+     * the life of the process.
+     */
+    private void forgetIfOver(InboundRequest request) {
+        if (!request.over() || request.out > 0) {
+            return;
         }
-
-        @Override
-        public void subscribe() {
-            watch.run();
+        request.release();
+        if (openRequests.remove(request.id) != null) {
+            generations.transactionEnded(request.generation);
         }
     }
 }
--- /dev/null
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyGeneration.java
@@ -0,0 +1,71 @@
+package trestlegrade.runtime;
+
+import trestlegrade.policy.LoadBalancer;
+import trestlegrade.policy.PolicyActions;
+import trestlegrade.policy.lease.EndpointListLease;
+import trestlegrade.policy.request.RejectionReason;
+import trestlegrade.policy.settings.PolicySettings;
+
+/**
+ * One set of settings in use, with the decisions made under it.
+ *
+ * <p>It begins at the start of the sidecar or at a SIGHUP with new settings, and takes all transactions that arrive
+ * until the next one begins. From then on it is retiring: its open transactions are decided on by it until the last of
+ * them has ended, so that no rule changes for a transaction under way. All calls are on the event loop.
+ */
+public final class PolicyGeneration implements PolicyActions {
+    private final PolicyExecutor executor;
+    private final LoadBalancer loadBalancer;
+    private int openTransactions;
+
+    PolicyGeneration(PolicyExecutor executor, PolicySettings settings, long seed, EndpointListLease lease) {
+        this.executor = executor;
+        loadBalancer = new LoadBalancer(settings, seed, this, lease);
+    }
+
+    LoadBalancer loadBalancer() {
+        return loadBalancer;
+    }
+
+    boolean hasOpenTransactions() {
+        return openTransactions > 0;
+    }
+
+    void transactionTaken() {
+        openTransactions++;
+    }
+
+    void transactionEnded() {
+        openTransactions--;
+    }
+
+    @Override
+    public void send(long tx, long endpoint, long timeout, long writtenBefore) {
+        executor.startAttempt(tx, endpoint, timeout, writtenBefore);
+    }
+
+    @Override
+    public void callOff(long tx, int attempt) {
+        executor.cancelAttempt(tx, attempt);
+    }
+
+    @Override
+    public void rollBack(long tx, long pause, RejectionReason why) {
+        executor.rollBack(tx, pause, why);
+    }
+
+    @Override
+    public void abandon(long tx, RejectionReason why) {
+        executor.abandon(tx, why);
+    }
+
+    @Override
+    public void wake(long span) {
+        executor.scheduleWakeUp(loadBalancer, span);
+    }
+
+    @Override
+    public void subscribe() {
+        executor.watchEndpointList();
+    }
+}
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -5,12 +5,6 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.file.FileSystemOptions;
-import io.vertx.core.json.JsonObject;
-import java.net.InetAddress;
-import java.net.ServerSocket;
-import java.util.Map;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.discovery.DiscoveryClient;
@@ -24,82 +18,48 @@
 import trestlegrade.outbound.AttemptSender;
 import trestlegrade.policy.lease.EndpointListLease;
 
-/** Puts one sidecar together, starts it, and brings it to its end on SIGTERM. */
-public final class Sidecar {
-    private final SidecarConfig commission;
-    private final Map<String, String> environment;
-    private final AsyncLog log = new AsyncLog();
-    private final Counters counters = new Counters(log);
-    private final DescriptorBudget clients;
+/**
+ * One sidecar: makes its parts and connects them, hands reloaded settings to each, and drains. All methods but
+ * {@link #createVertx} are called on the sidecar's event loop.
+ */
+final class Sidecar {
+    /** From the start of the process until {@link #start}, as long as it may take on a part of a core. */
+    private static final long PROCESS_START_TICKS = 1_000 * MonotonicClock.TICKS_PER_MILLI;
+
+    private final SidecarConfig startConfig;
+    private final AsyncLog log;
+    private final Counters counters;
+    private final DescriptorBudget clientDescriptors;
     private final BoundedTransport transport;
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final CountDownLatch failed = new CountDownLatch(1);
-    /** With the settings as they are now. */
-    private SidecarConfig inForce;
+    /** The configuration whose settings are in use. */
+    private SidecarConfig currentConfig;
 
+    private EventLoopContext loop;
     private EndpointListLease lease;
-    private PolicyExecutor desk;
-    private AttemptSender attempts;
-    private InboundHttpServer front;
+    private PolicyExecutor policyExecutor;
+    private AttemptSender attemptSender;
+    private EndpointRegistry endpoints;
+    private InboundHttpServer inboundServer;
     private DiscoveryClient discovery;
 
-    public Sidecar(SidecarConfig commission, Map<String, String> environment) {
-        this.commission = commission;
-        inForce = commission;
-        this.environment = environment;
-        clients = DescriptorBudget.forClients(commission.sockets());
-        transport = new BoundedTransport(clients, counters.turns, counters::acceptFailed);
+    Sidecar(SidecarConfig config, Counters counters) {
+        startConfig = config;
+        currentConfig = config;
+        this.counters = counters;
+        log = counters.log;
+        clientDescriptors = DescriptorBudget.forClients(config.sockets());
+        transport = new BoundedTransport(clientDescriptors, counters.turns, counters::acceptFailed);
     }
 
-    /** Serves until told to end; false if it could not begin. */
-    public static boolean serve(Map<String, String> environment) {
-        SidecarConfig commission;
-        try {
-            commission = SidecarConfig.read(environment);
-        } catch (RuntimeException e) {
-            System.err.println("serve: " + e.getMessage());
-            return false;
-        }
-        return new Sidecar(commission, environment).run();
-    }
-
-    /** Starts a sidecar with made-up terms on a free port of loopback, and waits until it is ready. */
-    @SuppressWarnings("try") // The port is freed before the sidecar binds it.
-    public static boolean rehearse() {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            JsonObject file = new JsonObject(MADE_UP).put("listen", "127.0.0.1:" + free.getLocalPort());
-            free.close();
-            Sidecar sidecar = new Sidecar(SidecarConfig.of(file, Map.of()), Map.of());
-            Vertx vertx = sidecar.vertx();
-            Context context = vertx.getOrCreateContext();
-            int played = Future.<Integer>future(ready -> context.runOnContext(
-                            v -> sidecar.start(vertx, context).onComplete(ready)))
-                    .await(20, TimeUnit.SECONDS);
-            System.out.println("rehearse: ready after " + played + " transactions");
-            return true;
-        } catch (Exception e) {
-            System.err.println("rehearse: " + e);
-            return false;
-        }
-    }
-
-    private static final String MADE_UP = """
-            {"name":"rehearsal","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":256},
-             "known":{"index":1,"endpoints":[]},
-             "settings":{"azs":["a"],"flavors":["m"],"membership_mode":"on_request",
-              "ceilings":{"cancelling":true,"max_hops":3,"retry_after":true,"max_retry_after":1000},
-              "profiles":[{"name":"read","effect":"repeatable","service_goal":500,"hard_limit":1000},
-                          {"name":"write","effect":"once","service_goal":500,"hard_limit":1000}],
-              "safety":{"cold_from":0.5,"cold":1000,"fall_multiple":3,"fall":1000}}}""";
-
-    private Vertx vertx() {
-        // The loop is watched by its own counters; the library's watcher need not look.
+    /** The one event loop of the sidecar, on the transport that bounds its clients. */
+    Vertx createVertx() {
         return Vertx.builder()
                 .withTransport(transport.transport())
                 .with(new VertxOptions()
                         .setEventLoopPoolSize(1)
                         .setWorkerPoolSize(1)
                         .setInternalBlockingPoolSize(1)
+                        // EventLoopLag watches the loop; the library's checker would only cost processor time.
                         .setBlockedThreadCheckInterval(Integer.MAX_VALUE)
                         .setFileSystemOptions(new FileSystemOptions()
                                 .setFileCachingEnabled(false)
@@ -107,156 +67,121 @@
                 .build();
     }
 
-    /** A JVM ends on SIGHUP unless somebody asks for it; no public API of Java does. */
-    private static void onHangUp(Runnable action) {
-        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> action.run());
+    /**
+     * Starts all parts, listens and warms up.
+     *
+     * @return the number of warm-up transactions once the sidecar calls itself healthy; failed if it can't listen
+     */
+    Future<Integer> start(Vertx vertx, Context context) {
+        MonotonicClock clock = new MonotonicClock();
+        long startTicks = clock.now();
+        EventLoopLag lag = new EventLoopLag(vertx, clock, counters.loopLagTicks);
+        loop = new EventLoopContext(vertx, context, clock, lag);
+        lease = new EndpointListLease(startTicks - PROCESS_START_TICKS, startConfig.drainGrace());
+        createParts();
+        registerGauges();
+        policyExecutor.start(endpoints, attemptSender, discovery::watch, startConfig.known());
+        return discovery
+                .relied()
+                .compose(v -> inboundServer.listen())
+                .onFailure(this::logListenFailed)
+                .compose(v -> warmUp())
+                .onSuccess(transactions -> becomeReady(transactions, startTicks));
     }
 
-    private boolean run() {
-        Vertx vertx = vertx();
-        Context context = vertx.getOrCreateContext();
-        context.runOnContext(v -> {
-            try {
-                start(vertx, context).onFailure(e -> failed.countDown());
-            } catch (RuntimeException e) {
-                log.add(() -> Logger.error(e, "serve code=start-failed"));
-                failed.countDown();
-            }
-        });
-        onHangUp(() -> reread(context));
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            if (failed.getCount() == 0) {
-                return;
-            }
-            context.runOnContext(v -> leave());
-            await(ended);
-            log.add(() -> Logger.info(
-                    "serve code=ended counters={}", counters.report().encode()));
-            log.flush();
-            // Ended as it was told to: the exit code of a signal would look like a fault.
-            Runtime.getRuntime().halt(0);
-        }));
-        await(failed);
-        log.flush();
-        return false;
+    private void createParts() {
+        policyExecutor = new PolicyExecutor(loop, counters, startConfig.terms(), startConfig.seed(), lease);
+        attemptSender = new AttemptSender(
+                loop, counters, policyExecutor::attemptEnded, startConfig, AttemptSender.QUARANTINE_MILLIS);
+        endpoints =
+                new EndpointRegistry(startConfig.zones(), startConfig.kinds(), attemptSender::closeOutdated, counters);
+        discovery = new DiscoveryClient(
+                loop.vertx(),
+                loop.clock(),
+                counters,
+                loop.lag(),
+                startConfig.discovery(),
+                startConfig.version(),
+                policyExecutor,
+                lease,
+                startConfig.seed() + 1);
+        discovery.adopt(startConfig.terms());
+        inboundServer = new InboundHttpServer(
+                loop.vertx(),
+                loop.context(),
+                loop.clock(),
+                counters,
+                policyExecutor,
+                endpoints,
+                startConfig,
+                clientDescriptors,
+                transport,
+                loop.lag());
     }
 
-    private static void await(CountDownLatch latch) {
-        try {
-            latch.await();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+    private void logListenFailed(Throwable cause) {
+        log.add(() ->
+                Logger.error("serve code=listen-failed listen={} cause={}", startConfig.listen(), cause.getMessage()));
     }
 
-    // Tenths of a millisecond from the start of the process to the first line here, on part of a core.
-    private static final long STARTED_BEFORE = 10_000;
+    private Future<Integer> warmUp() {
+        log.add(() -> Logger.info("serve code=listening name={} listen={}", startConfig.name(), startConfig.listen()));
+        return new WarmUp(loop, startConfig, log).run();
+    }
 
-    /** On the context that all of this sidecar runs on. */
-    public Future<Integer> start(Vertx vertx, Context context) {
-        MonotonicClock clock = new MonotonicClock();
-        long begun = clock.now();
-        EventLoopLag lateness = new EventLoopLag(vertx, clock, counters.loopLate);
-        lease = new EndpointListLease(begun - STARTED_BEFORE, commission.drainGrace());
-        desk = new PolicyExecutor(
-                vertx, context, clock, counters, lateness, commission.terms(), commission.seed(), lease);
-        attempts = new AttemptSender(
-                vertx, clock, counters, lateness, desk::attemptEnded, commission, AttemptSender.SETTLED);
-        EndpointRegistry roster =
-                new EndpointRegistry(commission.zones(), commission.kinds(), attempts::outdated, counters);
-        discovery = new DiscoveryClient(
-                vertx,
-                clock,
-                counters,
-                lateness,
-                commission.discovery(),
-                commission.version(),
-                desk,
-                lease,
-                commission.seed() + 1);
-        discovery.adopt(commission.terms());
-        front = new InboundHttpServer(
-                vertx, context, clock, counters, desk, roster, commission, clients, transport, lateness);
-        gauges(vertx);
-        desk.start(roster, attempts, discovery::watch, commission.known());
-        return discovery
-                .relied()
-                .compose(v -> front.listen())
-                .onFailure(e -> log.add(() -> Logger.error(
-                        "serve code=listen-failed listen={} cause={}", commission.listen(), e.getMessage())))
-                .compose(up -> {
-                    log.add(() -> Logger.info(
-                            "serve code=listening name={} listen={}", commission.name(), commission.listen()));
-                    return new WarmUp(vertx, context, clock, lateness, commission, log).play();
-                })
-                .onSuccess(played -> {
-                    front.ready();
-                    long took = (clock.now() - begun) / 10;
-                    log.add(() -> Logger.info("serve code=ready rehearsed={} after_ms={}", played, took));
-                });
+    private void becomeReady(int warmUpTransactions, long startTicks) {
+        inboundServer.ready();
+        long startMillis = (loop.clock().now() - startTicks) / MonotonicClock.TICKS_PER_MILLI;
+        log.add(() -> Logger.info("serve code=ready rehearsed={} after_ms={}", warmUpTransactions, startMillis));
     }
 
     /** What is open now: each figure is back at 0 once nothing is under way. */
-    private void gauges(Vertx vertx) {
-        counters.gauge("transactions", desk::open);
-        counters.gauge("decided_on", desk::decidedOn);
-        counters.gauge("settings_in_use", desk::settingsInUse);
-        counters.gauge("open_ids", front::openIds);
-        counters.gauge("request_body_kb", () -> front.bodyBytes() >> 10);
-        counters.gauge("answer_body_kb", () -> attempts.answerBytes() >> 10);
-        counters.gauge("clients", front::connections);
-        counters.gauge("pooled", attempts::connections);
+    private void registerGauges() {
+        counters.gauge("transactions", policyExecutor::openTransactions);
+        counters.gauge("decided_on", policyExecutor::heldTransactions);
+        counters.gauge("settings_in_use", policyExecutor::generationCount);
+        counters.gauge("open_ids", inboundServer::openIds);
+        counters.gauge("request_body_kb", () -> inboundServer.bodyBytes() >> 10);
+        counters.gauge("answer_body_kb", () -> attemptSender.responseBodyBytes() >> 10);
+        counters.gauge("clients", inboundServer::connections);
+        counters.gauge("pooled", attemptSender::connections);
         counters.gauge("list_version", discovery::version);
         counters.gauge("list_unconfirmed_ms", discovery::age);
-        HeapMonitor.start(vertx, counters);
+        HeapMonitor.start(loop.vertx(), counters);
     }
 
     /**
-     * SIGHUP: the file is read anew, on the signal's own thread; each signal has one, and the one that read last must
-     * be the one that is taken over last. Where discovery is and the settings change under way; all else is what this
-     * sidecar began with: another value there waits for a restart, named in the log.
+     * SIGHUP: uses another configuration's address of discovery, and its settings for all transactions that arrive from
+     * now on; what happens to the open ones stands at {@link PolicyGeneration}. Does nothing before the start.
      */
-    private synchronized void reread(Context context) {
-        SidecarConfig told;
-        try {
-            told = SidecarConfig.read(environment);
-        } catch (RuntimeException e) {
-            log.add(() -> Logger.warn("reload code=unreadable cause={}", e.getMessage()));
+    void reload(SidecarConfig config) {
+        if (discovery == null) {
             return;
         }
-        log.add(() -> Logger.info(
-                "reload code=read discovery={} at_restart={}", told.discovery(), commission.differsIn(told)));
-        context.runOnContext(v -> {
-            if (discovery != null) {
-                discovery.moveTo(told.discovery());
-                adopt(told);
-            }
-        });
+        discovery.moveTo(config.discovery());
+        if (config.sameSettings(currentConfig)) {
+            return;
+        }
+        currentConfig = config;
+        attemptSender.reload(config);
+        inboundServer.adopt(config);
+        discovery.adopt(config.terms());
+        lease.grace(config.drainGrace());
+        policyExecutor.reload(config.terms(), startConfig.seed(), zoneName(config));
+        int open = policyExecutor.openTransactions();
+        log.add(() -> Logger.info("reload code=adopted open={}", open));
     }
 
-    /** New settings hold for all that is taken from now on; the old file's bring them back the same way. */
-    private void adopt(SidecarConfig told) {
-        if (!told.sameSettings(inForce)) {
-            inForce = told;
-            attempts.adopt(told);
-            front.adopt(told);
-            discovery.adopt(told.terms());
-            lease.grace(told.drainGrace());
-            desk.adopt(
-                    told.terms(),
-                    commission.seed(),
-                    told.zones().isEmpty()
-                            ? null
-                            : told.zones().get(told.terms().zone()));
-            int open = desk.open();
-            log.add(() -> Logger.info("reload code=adopted open={}", open));
-        }
+    private static String zoneName(SidecarConfig config) {
+        return config.zones().isEmpty()
+                ? null
+                : config.zones().get(config.terms().zone());
     }
 
-    /** Ends once all that was taken is answered, at the latest just before it is killed. */
-    private void leave() {
-        int open = desk.open();
+    /** SIGTERM: serves what was taken, then ends. The callback runs once everything is answered or time is up. */
+    void drain(Runnable drained) {
+        int open = policyExecutor.openTransactions();
         log.add(() -> Logger.info("serve code=leaving open={}", open));
-        front.leave(ended::countDown);
+        inboundServer.leave(drained);
     }
 }
--- /dev/null
+++ b/sidecar/src/main/java/trestlegrade/runtime/SidecarProcess.java
@@ -0,0 +1,86 @@
+package trestlegrade.runtime;
+
+import io.vertx.core.Context;
+import io.vertx.core.Vertx;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import org.tinylog.Logger;
+import trestlegrade.config.SidecarConfig;
+import trestlegrade.metrics.AsyncLog;
+import trestlegrade.metrics.Counters;
+
+/** A sidecar as a process of its own: it starts, reloads on SIGHUP, and shuts down gracefully on SIGTERM. */
+public final class SidecarProcess {
+    private final Map<String, String> environment;
+    private final SidecarConfig config;
+    private final AsyncLog log = new AsyncLog();
+    private final Counters counters = new Counters(log);
+    private final Sidecar sidecar;
+    private final CountDownLatch drained = new CountDownLatch(1);
+    private final CountDownLatch startFailed = new CountDownLatch(1);
+
+    private SidecarProcess(SidecarConfig config, Map<String, String> environment) {
+        this.config = config;
+        this.environment = environment;
+        sidecar = new Sidecar(config, counters);
+    }
+
+    /**
+     * Serves until SIGTERM, which ends the program from inside. Returns only if the sidecar could not start; the reason
+     * is on the standard error output or in the log.
+     *
+     * @param environment the variables of the process; LB_CONFIG names the configuration file
+     */
+    public static void serve(Map<String, String> environment) {
+        SidecarConfig config;
+        try {
+            config = SidecarConfig.read(environment);
+        } catch (RuntimeException e) {
+            System.err.println("serve: " + e.getMessage());
+            return;
+        }
+        new SidecarProcess(config, environment).run();
+    }
+
+    private void run() {
+        Vertx vertx = sidecar.createVertx();
+        Context context = vertx.getOrCreateContext();
+        context.runOnContext(v -> {
+            try {
+                sidecar.start(vertx, context).onFailure(e -> startFailed.countDown());
+            } catch (RuntimeException e) {
+                log.add(() -> Logger.error(e, "serve code=start-failed"));
+                startFailed.countDown();
+            }
+        });
+        new ConfigReloader(config, environment, log, read -> context.runOnContext(v -> sidecar.reload(read)))
+                .installSignalHandler();
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(context)));
+        await(startFailed);
+        log.flush();
+    }
+
+    /**
+     * SIGTERM: waits until all that was taken is answered, at the latest just before the operators kill the process.
+     */
+    private void shutDown(Context context) {
+        if (startFailed.getCount() == 0) {
+            return;
+        }
+        context.runOnContext(v -> sidecar.drain(drained::countDown));
+        await(drained);
+        log.add(() ->
+                Logger.info("serve code=ended counters={}", counters.report().encode()));
+        log.flush();
+        // A JVM that SIGTERM ends exits with 143, which would look like a fault.
+        Runtime.getRuntime().halt(0);
+    }
+
+    private static void await(CountDownLatch latch) {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+}
--- a/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
@@ -1,10 +1,8 @@
 package trestlegrade.runtime;
 
-import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.MultiMap;
 import io.vertx.core.Promise;
-import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpHeaders;
 import io.vertx.core.json.JsonArray;
@@ -18,136 +16,139 @@
 import trestlegrade.policy.lease.EndpointListLease;
 
 /**
- * Transactions that a sidecar sends through a desk of their own to itself before it calls itself ready: cold code took
- * milliseconds of processor time for each, and a sidecar with a third of a core never caught up.
+ * Transactions that a sidecar sends to itself, with decisions of their own, before it calls itself healthy.
+ *
+ * <p>Interpreted code needs many times the processor time of compiled code for a transaction: a sidecar with a part of
+ * a core that took traffic at once would not catch up with it. Transactions are sent in rounds, until a round is fast
+ * enough or the limit of number or time is reached.
  */
 public final class WarmUp implements InboundRequest.Client {
-    /** Where the front plays the endpoint. */
+    /** The request target for which the inbound server plays the endpoint until the sidecar is ready. */
     public static final String TARGET = "/_rehearsal";
 
-    // Looked at in rounds: warm, a transaction passes in a quarter of a millisecond of processor time; cold, in
-    // three. Once five hundred pass in a second, or several times a sidecar's part of what is agreed, the rest warms
-    // up under way: a sidecar of a large fleet sees ten a second, and seven in ten that started at once took half
-    // a core each for three seconds, in which nobody was served.
-    private static final int ROUND = 50;
-    private static final double QUICK = 500;
-    // Traffic is uneven, and clients come again after a restart.
-    private static final double BUSIEST = 8;
-    // The compiler takes up what has been called two hundred times. On a slow core time is up first.
-    private static final int MOST = 600;
-    private static final long LONGEST = 60_000;
-    private static final int AT_ONCE = 4;
+    private static final int ROUND_TRANSACTIONS = 50;
+    /** Fast enough for any sidecar. */
+    private static final double FAST_PER_SECOND = 500;
+    /** Fast enough for a sidecar of a large fleet: so many times its part of the agreed rate, for traffic is uneven. */
+    private static final double PEAK_TO_AGREED_RATE = 8;
+    /** Beyond what the first compiler needs to take up a method (200 calls). */
+    private static final int MAX_TRANSACTIONS = 600;
+
+    private static final long MAX_DURATION_TICKS = 6_000 * MonotonicClock.TICKS_PER_MILLI;
+    private static final long TICKS_PER_SECOND = 1_000 * MonotonicClock.TICKS_PER_MILLI;
+    private static final int CONCURRENCY = 4;
+    private static final int BODY_BYTES = 500;
+    /** The shortest there is: the inbound server sends nothing behind a response. */
+    private static final int QUARANTINE_MILLIS = 1;
 
     private final MonotonicClock clock;
-    private final SidecarConfig commission;
-    private final PolicyExecutor desk;
-    private final AttemptSender attempts;
-    private final EndpointRegistry roster;
-    private final Buffer body = Buffer.buffer(new byte[500]);
+    private final SidecarConfig config;
+    private final PolicyExecutor policyExecutor;
+    private final AttemptSender attemptSender;
+    private final EndpointRegistry endpoints;
+    private final Buffer body = Buffer.buffer(new byte[BODY_BYTES]);
     private final Promise<Integer> done = Promise.promise();
-    private final long begun;
-    private final long quickRound;
-    private long roundBegun;
-    private int asked;
+    private final long startTicks;
+    private final long fastRoundTicks;
+    private long roundStartTicks;
+    private int sent;
     private int ended;
-    private boolean enough;
+    private boolean warm;
 
-    public WarmUp(
-            Vertx vertx,
-            Context context,
-            MonotonicClock clock,
-            EventLoopLag lateness,
-            SidecarConfig commission,
-            AsyncLog log) {
-        this.clock = clock;
-        this.commission = commission;
+    /** A warm-up of the sidecar that listens as the configuration says; its counters are not the sidecar's. */
+    public WarmUp(EventLoopContext loop, SidecarConfig config, AsyncLog log) {
+        clock = loop.clock();
+        this.config = config;
         Counters counters = new Counters(log);
-        desk = new PolicyExecutor(
-                vertx,
-                context,
-                clock,
-                counters,
-                lateness,
-                commission.terms(),
-                commission.seed(),
-                EndpointListLease.permanent());
-        // This sidecar itself sends nothing behind an answer.
-        attempts = new AttemptSender(vertx, clock, counters, lateness, desk::attemptEnded, commission, 1);
-        roster = new EndpointRegistry(commission.zones(), commission.kinds(), attempts::outdated, counters);
-        quickRound = quickRound(commission.agreedRate());
-        begun = clock.now();
-        roundBegun = begun;
+        policyExecutor =
+                new PolicyExecutor(loop, counters, config.terms(), config.seed(), EndpointListLease.permanent());
+        attemptSender = new AttemptSender(loop, counters, policyExecutor::attemptEnded, config, QUARANTINE_MILLIS);
+        endpoints = new EndpointRegistry(config.zones(), config.kinds(), attemptSender::closeOutdated, counters);
+        fastRoundTicks = fastRoundTicks(config.agreedRate());
+        startTicks = clock.now();
+        roundStartTicks = startTicks;
     }
 
-    /** What a round may take for the code to be warm enough, by this sidecar's part of the agreed rate. */
-    public static long quickRound(double agreedRate) {
-        return (long) (10_000 * ROUND / Math.min(QUICK, BUSIEST * agreedRate));
+    /**
+     * How long a round may take, in ticks, for the code to be warm.
+     *
+     * @param agreedRate this sidecar's part of the agreed transactions a second
+     */
+    public static long fastRoundTicks(double agreedRate) {
+        return (long)
+                (TICKS_PER_SECOND * ROUND_TRANSACTIONS / Math.min(FAST_PER_SECOND, PEAK_TO_AGREED_RATE * agreedRate));
     }
 
-    /** How many transactions it took. */
-    public Future<Integer> play() {
+    /** Starts; done with the number of transactions once the code is warm or a limit is reached. */
+    public Future<Integer> run() {
         JsonObject self = new JsonObject()
                 .put("name", "self")
-                .put("address", commission.listen().toString())
+                .put("address", config.listen().toString())
                 .put("status", "active");
-        desk.start(roster, attempts, () -> {}, new JsonArray().add(self));
-        for (int i = 0; i < AT_ONCE; i++) {
-            ask();
+        policyExecutor.start(endpoints, attemptSender, () -> {}, new JsonArray().add(self));
+        for (int i = 0; i < CONCURRENCY; i++) {
+            sendNext();
         }
         return done.future();
     }
 
-    private void ask() {
-        int profile = asked % commission.profiles().size();
+    private void sendNext() {
+        int profile = sent % config.profiles().size();
         long now = clock.now();
-        desk.arrived(new InboundRequest(
-                asked++ % 2 == 0 ? "GET" : "POST",
+        policyExecutor.requestArrived(new InboundRequest(
+                sent++ % 2 == 0 ? "GET" : "POST",
                 TARGET,
                 HttpHeaders.headers(),
                 body,
                 profile,
                 false,
                 0,
-                asked,
-                now + commission.terms().profiles().get(profile).deadline(),
+                sent,
+                now + config.terms().profiles().get(profile).deadline(),
                 0,
                 this));
     }
 
-    private void next() {
-        long now = clock.now();
-        if (++ended % ROUND == 0) {
-            if (now - roundBegun < quickRound || ended >= MOST || now - begun > LONGEST) {
-                enough = true;
-            }
-            roundBegun = now;
+    private void transactionEnded() {
+        ended++;
+        if (ended % ROUND_TRANSACTIONS == 0) {
+            endRound(clock.now());
         }
-        if (!enough) {
-            ask();
-        } else if (ended == asked) {
-            attempts.close();
+        if (!warm) {
+            sendNext();
+        } else if (ended == sent) {
+            attemptSender.close();
             done.complete(ended);
         }
     }
 
+    private void endRound(long now) {
+        if (now - roundStartTicks < fastRoundTicks
+                || ended >= MAX_TRANSACTIONS
+                || now - startTicks > MAX_DURATION_TICKS) {
+            warm = true;
+        }
+        roundStartTicks = now;
+    }
+
     @Override
     public boolean gone() {
         return false;
     }
 
     @Override
-    public Future<Void> committed(MultiMap head, Buffer answer) {
-        next();
+    public Future<Void> committed(MultiMap head, Buffer responseBody) {
+        transactionEnded();
         return Future.succeededFuture();
     }
 
     @Override
-    public void rolledBack(long pause) {
-        next();
+    public void rolledBack(long retryAfterTicks) {
+        transactionEnded();
     }
 
     @Override
     public void abandoned() {
-        next();
+        transactionEnded();
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/ServeIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ServeIT.java
@@ -104,7 +104,7 @@
     @ParameterizedTest
     @CsvSource({"Infinity, 1000", "500, 1000", "62.5, 1000", "8, 7812", "1, 62500"})
     void theRehearsalLastsUntilItKeepsUpWithWhatIsAgreed(double agreedRate, long round) {
-        assertEquals(round, WarmUp.quickRound(agreedRate));
+        assertEquals(round, WarmUp.fastRoundTicks(agreedRate));
     }
 
     /** One bad endpoint beside a good one; what the client gets, and whether the bad one's attempts may be repeated. */
