--- a/sidecar/src/main/java/trestlegrade/Main.java
+++ b/sidecar/src/main/java/trestlegrade/Main.java
@@ -20,6 +20,7 @@
         version = "trestlegrade 0.1.0",
         description = "A load balancer of which every client process has its own copy.")
 public final class Main implements Callable<Integer> {
+    private static final int SIMULATOR_BUFFER_BYTES = 64 << 10;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -30,25 +31,41 @@
         return CommandLine.ExitCode.USAGE;
     }
 
+    /** Makes the decisions for the sidecars of a simulator, on standard input and output. */
+    @Command(
+            name = "simulator",
+            mixinStandardHelpOptions = true,
+            description = "Makes the decisions for the sidecars of a simulator, on standard input and output.")
+    int simulator() {
+        return runSimulator("simulator");
+    }
+
+    /** The former name of {@link #simulator}. */
     @Command(
             name = "benchlink",
+            hidden = true,
             mixinStandardHelpOptions = true,
-            description = "Makes the decisions for the sidecars of a bench, on standard input and output.")
+            description = "The former name of simulator.")
     int benchlink() {
+        return runSimulator("benchlink");
+    }
+
+    private static int runSimulator(String command) {
         try {
             new SimulatorAdapter(
-                            new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
+                            new BufferedInputStream(new FileInputStream(FileDescriptor.in), SIMULATOR_BUFFER_BYTES),
                             new FileOutputStream(FileDescriptor.out))
                     .run();
             return CommandLine.ExitCode.OK;
         } catch (MalformedFrameException e) {
-            System.err.println("benchlink: malformed input: " + e.getMessage());
+            System.err.println(command + ": malformed input: " + e.getMessage());
         } catch (IOException e) {
-            System.err.println("benchlink: input or output failed: " + e.getMessage());
+            System.err.println(command + ": input or output failed: " + e.getMessage());
         }
         return CommandLine.ExitCode.SOFTWARE;
     }
 
+    /** Serves as one sidecar; SIGTERM ends the program from inside, so this returns only if it could not start. */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
@@ -58,23 +75,39 @@
         return CommandLine.ExitCode.SOFTWARE;
     }
 
+    /** Starts a sidecar on a free port of loopback until it is ready. */
     @Command(
-            name = "rehearse",
+            name = "warmup",
             mixinStandardHelpOptions = true,
             description = "Starts a sidecar on a free port of loopback until it is ready: does it work here?")
+    public int warmUp() {
+        return checkStartup("warmup");
+    }
+
+    /** The former name of {@link #warmUp}. */
+    @Command(
+            name = "rehearse",
+            hidden = true,
+            mixinStandardHelpOptions = true,
+            description = "The former name of warmup.")
     public int rehearse() {
+        return checkStartup("rehearse");
+    }
+
+    private static int checkStartup(String command) {
         try {
-            System.out.println("rehearse: ready after " + StartupCheck.run() + " transactions");
+            System.out.println(command + ": ready after " + StartupCheck.run() + " transactions");
             return CommandLine.ExitCode.OK;
         } catch (Exception e) {
-            System.err.println("rehearse: " + e);
+            System.err.println(command + ": " + e);
             return CommandLine.ExitCode.SOFTWARE;
         }
     }
 
+    /** Runs the command that the arguments name, and exits with its status. */
     public static void main(String[] args) {
-        // The record of classes leaves picocli's out, which are of an old format: to load them was half of what a
-        // sidecar did before its first own line, and after a release a hundred start at once.
+        // The JVM's class data archive cannot hold picocli, whose class files are of an old format. Loading it costs as
+        // much as the rest of the start, and after a release many sidecars start at once.
         if (args.length == 1 && args[0].equals("serve")) {
             System.exit(new Main().serve());
         }
--- a/sidecar/src/main/java/trestlegrade/metrics/Counters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/Counters.java
@@ -11,63 +11,91 @@
 import org.HdrHistogram.Histogram;
 import org.tinylog.Logger;
 import trestlegrade.policy.request.AttemptOutcome;
-
-/** What this sidecar took in, sent and answered since its start. */
+import trestlegrade.runtime.MonotonicClock;
+
+/**
+ * What this sidecar took in, sent and answered since its start.
+ *
+ * <p>Counters only grow, gauges are read when somebody asks for them, histograms hold durations in ticks. All belong to
+ * the event loop but for {@link #acceptFailed}, which the listener's thread calls, and {@link Turns}.
+ */
 public final class Counters {
-    /** Turns of the event loops, in which sockets were looked at; written by those loops alone. */
-    public static final class Turns {
-        private final LongAdder all = new LongAdder();
-        private final LongAdder idle = new LongAdder();
-
-        public void count(int handled) {
-            all.increment();
-            if (handled == 0) {
-                idle.increment();
-            }
-        }
+    private static final long ACCEPT_FAILURE_LOG_INTERVAL_NANOS = 1_000_000_000;
+    /** One minute. */
+    private static final long HISTOGRAM_MAX_TICKS = 60_000 * MonotonicClock.TICKS_PER_MILLI;
 
-        public long all() {
-            return all.sum();
-        }
-    }
+    private static final int HISTOGRAM_DIGITS = 2;
 
     public final AsyncLog log;
     public final Turns turns = new Turns();
-    public final RejectionCounters refusals;
+    public final RejectionCounters rejections;
+
+    /** Counter: transactions whose last byte was read and that were valid. */
     public long taken;
+    /** Counter: transactions answered with an endpoint's commit. */
     public long committed;
+    /** Counter: transactions answered with a rollback. */
     public long rolledBack;
+    /** Counter: transactions answered without a promise about their effect. */
     public long abandoned;
+    /** Counter: transactions whose client disconnected before the answer. */
     public long clientsLeft;
+    /** Counter: attempts written to a connection. */
     public long attemptsSent;
+    /** Counter: connections to endpoints that were requested. */
     public long connectionsRequested;
+    /** Counter: attempts not sent since all descriptors for connections were in use. */
     public long descriptorsExhausted;
+    /** Counter: lines of discovery's watch. */
     public long listLines;
+    /** Counter: watches of discovery that were begun. */
     public long watches;
+    /** Counter: lines of discovery's watch that could not be used. */
     public long badLines;
+    /** Counter: entries of endpoint lists that could not be read. */
     public long badEntries;
+    /** Counter: how often the lease on the endpoint list expired. */
     public long leasesExpired;
-    /** The listener has a thread of its own. */
-    private final LongAdder acceptsFailed = new LongAdder();
-
-    private volatile long acceptFailureLogged = System.nanoTime() - ACCEPT_FAILURES_LOGGED_EVERY;
-    private static final long ACCEPT_FAILURES_LOGGED_EVERY = 1_000_000_000;
-    /** Tenths of a millisecond, to two digits up to a minute. */
-    public final Histogram attemptDurationTicks = new Histogram(600_000, 2);
+    /** Histogram: how long committed attempts took, in ticks. */
+    public final Histogram attemptDurationTicks = new Histogram(HISTOGRAM_MAX_TICKS, HISTOGRAM_DIGITS);
+    /** Histogram: the lag of the event loop, in ticks. */
+    public final Histogram loopLagTicks = new Histogram(HISTOGRAM_MAX_TICKS, HISTOGRAM_DIGITS);
 
-    public final Histogram loopLagTicks = new Histogram(600_000, 2);
-    private final Map<AttemptOutcome, Long> attempts = new EnumMap<>(AttemptOutcome.class);
-    private final Map<Integer, Long> rejected = new TreeMap<>();
+    private final LongAdder acceptsFailed = new LongAdder();
+    private volatile long acceptFailureLoggedNanos = System.nanoTime() - ACCEPT_FAILURE_LOG_INTERVAL_NANOS;
+    private final Map<AttemptOutcome, Long> attemptsByOutcome = new EnumMap<>(AttemptOutcome.class);
+    private final Map<Integer, Long> rejectionsByStatus = new TreeMap<>();
     private final Map<String, Long> connectionsEnded = new TreeMap<>();
     private final Map<String, LongSupplier> gauges = new TreeMap<>();
 
+    /** Counters: turns of the event loops, in which sockets were looked at; only those loops write them. */
+    public static final class Turns {
+        private final LongAdder all = new LongAdder();
+        private final LongAdder idle = new LongAdder();
+
+        /** Counts one turn that handled so many events of sockets. */
+        public void count(int handled) {
+            all.increment();
+            if (handled == 0) {
+                idle.increment();
+            }
+        }
+
+        /** All turns so far. */
+        public long all() {
+            return all.sum();
+        }
+    }
+
+    /** Counters at 0, whose lines go to the log. */
     public Counters(AsyncLog log) {
         this.log = log;
-        refusals = new RejectionCounters(log);
+        rejections = new RejectionCounters(log);
     }
 
+    /** One attempt has ended. */
     public void attempt(AttemptOutcome outcome) {
-        attempts.merge(outcome, 1L, Long::sum);
+        attemptsByOutcome.merge(outcome, 1L, Long::sum);
     }
 
     /** How long a committed attempt took; what is over the histogram's limit counts as that. */
@@ -75,54 +103,68 @@
         attemptDurationTicks.recordValue(Math.min(ticks, attemptDurationTicks.getHighestTrackableValue()));
     }
 
+    /** A request that is no transaction was answered with this status. */
     public void rejected(int status) {
-        rejected.merge(status, 1L, Long::sum);
+        rejectionsByStatus.merge(status, 1L, Long::sum);
     }
 
-    /** The system refused to let a client in; it waits in the listener's queue. */
+    /** The system could not accept a client, which waits in the listener's queue. */
     public void acceptFailed(IOException cause) {
         acceptsFailed.increment();
         long now = System.nanoTime();
-        if (now - acceptFailureLogged < ACCEPT_FAILURES_LOGGED_EVERY) {
+        if (now - acceptFailureLoggedNanos < ACCEPT_FAILURE_LOG_INTERVAL_NANOS) {
             return;
         }
-        acceptFailureLogged = now;
+        acceptFailureLoggedNanos = now;
         long failed = acceptsFailed.sum();
         log.add(() -> Logger.warn("client code=accept-failed cause={} failed_so_far={}", cause.getMessage(), failed));
     }
 
-    /** One connection has ended: counted, and told in one line of the log. */
-    public void ended(String side, String code, String peer, int carried, long openTenths) {
+    /**
+     * Counts and logs the end of one connection.
+     *
+     * @param side which kind of connection it is: client, pooled or watch
+     * @param code why it ended
+     * @param carried how many messages it carried
+     * @param openTicks how long it was open
+     */
+    public void ended(String side, String code, String peer, int carried, long openTicks) {
         connectionsEnded.merge(side + ":" + code, 1L, Long::sum);
-        log.add(() ->
-                Logger.info("{} code={} peer={} carried={} open_ms={}", side, code, peer, carried, openTenths / 10));
+        log.add(() -> Logger.info(
+                "{} code={} peer={} carried={} open_ms={}",
+                side,
+                code,
+                peer,
+                carried,
+                openTicks / MonotonicClock.TICKS_PER_MILLI));
     }
 
-    private static JsonObject milliseconds(Histogram tenths) {
+    private static JsonObject milliseconds(Histogram ticks) {
         return new JsonObject()
-                .put("count", tenths.getTotalCount())
-                .put("p50", tenths.getValueAtPercentile(50) / 10.0)
-                .put("p99", tenths.getValueAtPercentile(99) / 10.0)
-                .put("max", tenths.getMaxValue() / 10.0);
+                .put("count", ticks.getTotalCount())
+                .put("p50", ticks.getValueAtPercentile(50) / (double) MonotonicClock.TICKS_PER_MILLI)
+                .put("p99", ticks.getValueAtPercentile(99) / (double) MonotonicClock.TICKS_PER_MILLI)
+                .put("max", ticks.getMaxValue() / (double) MonotonicClock.TICKS_PER_MILLI);
     }
 
-    /** A figure that is read whenever somebody asks for the counters. */
-    public void gauge(String name, LongSupplier figure) {
-        gauges.put(name, figure);
+    /** Registers a gauge. */
+    public void gauge(String name, LongSupplier value) {
+        gauges.put(name, value);
     }
 
-    /** What is open and held at this moment. */
+    /** The gauges by name, as they are now. */
     public JsonObject gauges() {
         JsonObject now = new JsonObject();
-        gauges.forEach((name, figure) -> now.put(name, figure.getAsLong()));
+        gauges.forEach((name, value) -> now.put(name, value.getAsLong()));
         return now;
     }
 
+    /** All counters, gauges and histograms, as the target {@code /_counters} and the last line of the log give them. */
     public JsonObject report() {
         JsonObject ends = new JsonObject();
-        attempts.forEach((outcome, n) -> ends.put(outcome.name().toLowerCase(Locale.ROOT), n));
-        JsonObject rejections = new JsonObject();
-        rejected.forEach((status, n) -> rejections.put(status.toString(), n));
+        attemptsByOutcome.forEach((outcome, n) -> ends.put(outcome.name().toLowerCase(Locale.ROOT), n));
+        JsonObject byStatus = new JsonObject();
+        rejectionsByStatus.forEach((status, n) -> byStatus.put(status.toString(), n));
         JsonObject codes = new JsonObject();
         connectionsEnded.forEach(codes::put);
         return new JsonObject()
@@ -131,7 +173,7 @@
                 .put("rolled_back", rolledBack)
                 .put("abandoned", abandoned)
                 .put("clients_left", clientsLeft)
-                .put("rejected", rejections)
+                .put("rejected", byStatus)
                 .put("attempts_sent", attemptsSent)
                 .put("attempts_ended", ends)
                 .put("connects", connectionsRequested)
@@ -145,7 +187,7 @@
                 .put("accepts_failed", acceptsFailed.sum())
                 .put("loop_turns", turns.all())
                 .put("loop_turns_idle", turns.idle.sum())
-                .put("refused", refusals.report())
+                .put("refused", rejections.report())
                 .put("now", gauges())
                 .put("log_lines_dropped", log.dropped())
                 .put("attempt_ms", milliseconds(attemptDurationTicks))
--- a/sidecar/src/main/java/trestlegrade/metrics/HeapMonitor.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/HeapMonitor.java
@@ -3,36 +3,37 @@
 import io.vertx.core.Vertx;
 import org.tinylog.Logger;
 
-/** Logs how full the heap is, and what may hold it, before the runtime ends the process for want of memory. */
+/** Logs a heap that is nearly full with all gauges, before the runtime ends the process with an OutOfMemoryError. */
 public final class HeapMonitor {
-    private static final long LOOK_MS = 1_000;
-    private static final double HIGH = 0.8;
-    // Looks between two lines.
-    private static final int QUIET_LOOKS = 10;
+    private static final long CHECK_MILLIS = 1_000;
+    private static final double HIGH_FRACTION = 0.8;
+    private static final int CHECKS_BETWEEN_LINES = 10;
 
     private final Counters counters;
-    private int quietLooks;
+    private int checksUntilNextLine;
 
     private HeapMonitor(Counters counters) {
         this.counters = counters;
     }
 
+    /** Registers the gauges of the heap and checks it each second. */
     public static void start(Vertx vertx, Counters counters) {
-        HeapMonitor watch = new HeapMonitor(counters);
-        counters.gauge("heap_used_kb", () -> used() >> 10);
+        HeapMonitor monitor = new HeapMonitor(counters);
+        counters.gauge("heap_used_kb", () -> usedBytes() >> 10);
         counters.gauge("heap_max_kb", () -> Runtime.getRuntime().maxMemory() >> 10);
-        vertx.setPeriodic(LOOK_MS, timer -> watch.look());
+        vertx.setPeriodic(CHECK_MILLIS, timer -> monitor.check());
     }
 
-    private static long used() {
+    private static long usedBytes() {
         Runtime runtime = Runtime.getRuntime();
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    private void look() {
-        quietLooks--;
-        if (quietLooks <= 0 && used() > HIGH * Runtime.getRuntime().maxMemory()) {
-            quietLooks = QUIET_LOOKS;
+    private void check() {
+        checksUntilNextLine--;
+        if (checksUntilNextLine <= 0
+                && usedBytes() > HIGH_FRACTION * Runtime.getRuntime().maxMemory()) {
+            checksUntilNextLine = CHECKS_BETWEEN_LINES;
             String gauges = counters.gauges().encode();
             counters.log.add(() -> Logger.warn("memory code=high now={}", gauges));
         }
--- a/sidecar/src/main/java/trestlegrade/metrics/RejectionCounters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/RejectionCounters.java
@@ -4,17 +4,21 @@
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
+import java.util.stream.Collectors;
 import org.tinylog.Logger;
 import trestlegrade.inbound.InboundRequest;
-import trestlegrade.outbound.OutboundAttempt;
 import trestlegrade.policy.request.RejectionReason;
+import trestlegrade.runtime.MonotonicClock;
 
-/** Counts the transactions that are given up by their reason, and logs a sample of each reason. */
+/** Counts the transactions that end without a commit by their reason, and logs a sample of each reason. */
 public final class RejectionCounters {
-    // Tenths of a millisecond between two samples of one reason: a jam must not fill the log.
-    private static final long SAMPLE_EVERY = 10_000;
+    /** Between two samples of one reason: an overload must not fill the log. */
+    private static final long SAMPLE_INTERVAL_TICKS = 1_000 * MonotonicClock.TICKS_PER_MILLI;
 
-    /** What is known of one reason. */
+    private final Map<RejectionReason, Tally> tallies = new EnumMap<>(RejectionReason.class);
+    private final AsyncLog log;
+
+    /** The figures of one reason. */
     private static final class Tally {
         private long rolledBack;
         private long abandoned;
@@ -22,9 +26,6 @@
         private long sinceSample;
     }
 
-    private final Map<RejectionReason, Tally> tallies = new EnumMap<>(RejectionReason.class);
-    private final AsyncLog log;
-
     RejectionCounters(AsyncLog log) {
         this.log = log;
         for (RejectionReason each : RejectionReason.values()) {
@@ -32,55 +33,56 @@
         }
     }
 
-    public void rolledBack(long now, InboundRequest exchange, RejectionReason why) {
-        tallies.get(why).rolledBack++;
-        sample(now, exchange, why, "rolled-back");
+    /** A transaction was answered with a rollback; {@code now} is in ticks. */
+    public void rolledBack(long now, InboundRequest request, RejectionReason reason) {
+        tallies.get(reason).rolledBack++;
+        sample(now, request, reason, "rolled-back");
     }
 
-    public void abandoned(long now, InboundRequest exchange, RejectionReason why) {
-        tallies.get(why).abandoned++;
-        sample(now, exchange, why, "abandoned");
+    /** A transaction was answered without a promise about its effect; {@code now} is in ticks. */
+    public void abandoned(long now, InboundRequest request, RejectionReason reason) {
+        tallies.get(reason).abandoned++;
+        sample(now, request, reason, "abandoned");
     }
 
-    private void sample(long now, InboundRequest exchange, RejectionReason why, String code) {
-        Tally tally = tallies.get(why);
+    private void sample(long now, InboundRequest request, RejectionReason reason, String code) {
+        Tally tally = tallies.get(reason);
         tally.sinceSample++;
-        if (now - tally.sampledAt < SAMPLE_EVERY) {
+        if (now - tally.sampledAt < SAMPLE_INTERVAL_TICKS) {
             return;
         }
         tally.sampledAt = now;
-        String id = exchange.head.get("X-Trace-Id");
-        String attempts = attempts(exchange);
-        long left = (exchange.end - now) / 10;
-        long like = tally.sinceSample;
+        String id = request.head.get("X-Trace-Id");
+        String endpoints = attemptedEndpoints(request);
+        long leftMillis = (request.end - now) / MonotonicClock.TICKS_PER_MILLI;
+        long sinceSample = tally.sinceSample;
         tally.sinceSample = 0;
         log.add(() -> Logger.info(
                 "transaction code={} reason={} id={} attempts={} left_ms={} like_it={}",
                 code,
-                name(why),
+                name(reason),
                 id,
-                attempts,
-                left,
-                like));
+                endpoints,
+                leftMillis,
+                sinceSample));
     }
 
-    private static String attempts(InboundRequest exchange) {
-        StringBuilder text = new StringBuilder("[");
-        for (OutboundAttempt each : exchange.attempts) {
-            text.append(text.length() > 1 ? "," : "").append(each.endpoint.name);
-        }
-        return text.append(']').toString();
+    private static String attemptedEndpoints(InboundRequest request) {
+        return request.attempts.stream()
+                .map(attempt -> attempt.endpoint.name)
+                .collect(Collectors.joining(",", "[", "]"));
     }
 
-    private static String name(RejectionReason why) {
-        return why.name().toLowerCase(Locale.ROOT);
+    private static String name(RejectionReason reason) {
+        return reason.name().toLowerCase(Locale.ROOT);
     }
 
     /** By reason, how many were rolled back and how many abandoned. */
     public JsonObject report() {
         JsonObject report = new JsonObject();
-        tallies.forEach((why, tally) -> report.put(
-                name(why), new JsonObject().put("rolled_back", tally.rolledBack).put("abandoned", tally.abandoned)));
+        tallies.forEach((reason, tally) -> report.put(
+                name(reason),
+                new JsonObject().put("rolled_back", tally.rolledBack).put("abandoned", tally.abandoned)));
         return report;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -227,14 +227,14 @@
 
     void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason) {
         InboundRequest request = openRequests.get(transactionId);
-        counters.refusals.rolledBack(events.now(), request, reason);
+        counters.rejections.rolledBack(events.now(), request, reason);
         request.rollBack(retryAfterTicks, counters);
         forgetIfOver(request);
     }
 
     void abandon(long transactionId, RejectionReason reason) {
         InboundRequest request = openRequests.get(transactionId);
-        counters.refusals.abandoned(events.now(), request, reason);
+        counters.rejections.abandoned(events.now(), request, reason);
         request.abandon(counters);
         forgetIfOver(request);
     }
--- a/sidecar/src/main/java/trestlegrade/runtime/TimerRoundingIoHandler.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/TimerRoundingIoHandler.java
@@ -9,107 +9,111 @@
 import trestlegrade.metrics.Counters;
 
 /**
- * Netty's reader of sockets, but its loop sleeps until the next timer is due. A selector waits in whole milliseconds,
- * and Netty rounds to the nearest: with up to half a millisecond left it asked the selector again and again, without a
- * wait, until the timer was due. With a beat of 10 ms that was up to a twentieth of a core; where a look at the
- * selector costs more than the clock moves on (each is a trap on the fleet days), a loop whose timers happened to fall
- * so never rested (docs/incidents). Here what is left is rounded up: a timer comes a millisecond late at the most.
+ * Netty's I/O handler, with the wait for the next timer rounded up to whole milliseconds.
+ *
+ * <p>A selector waits in whole milliseconds and Netty rounds to the nearest. With up to half a millisecond left it asks
+ * the selector again and again, without a wait, until the timer is due, which shows as processor time of an idle event
+ * loop. Rounded up, a timer comes a millisecond late at most.
  */
 public final class TimerRoundingIoHandler implements IoHandler {
-    private static final long MILLISECOND = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final IoHandler usual;
+    private final IoHandler delegate;
     private final Counters.Turns turns;
+    private final RoundingContext roundingContext = new RoundingContext();
 
-    private TimerRoundingIoHandler(IoHandler usual, Counters.Turns turns) {
-        this.usual = usual;
+    private TimerRoundingIoHandler(IoHandler delegate, Counters.Turns turns) {
+        this.delegate = delegate;
         this.turns = turns;
     }
 
-    public static IoHandlerFactory over(IoHandlerFactory usual, Counters.Turns turns) {
+    /** A factory whose handlers round up and count their turns. */
+    public static IoHandlerFactory over(IoHandlerFactory delegate, Counters.Turns turns) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
-                return new TimerRoundingIoHandler(usual.newHandler(executor), turns);
+                return new TimerRoundingIoHandler(delegate.newHandler(executor), turns);
             }
 
             @Override
             public boolean isChangingThreadSupported() {
-                return usual.isChangingThreadSupported();
+                return delegate.isChangingThreadSupported();
             }
         };
     }
 
-    /** In nanoseconds; 0 or less is due, and the largest value means that nothing ever is. */
-    static long wholeMilliseconds(long delay) {
-        return delay <= 0 || delay > Long.MAX_VALUE - MILLISECOND
-                ? delay
-                : (delay + MILLISECOND - 1) / MILLISECOND * MILLISECOND;
+    /** Rounds up nanoseconds; 0 or less means due, and the largest value means that there is no timer. */
+    static long wholeMilliseconds(long delayNanos) {
+        return delayNanos <= 0 || delayNanos > Long.MAX_VALUE - NANOS_PER_MILLI
+                ? delayNanos
+                : (delayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
     }
 
     @Override
     public int run(IoHandlerContext context) {
-        told = context;
-        int handled = usual.run(rounded);
+        roundingContext.delegate = context;
+        int handled = delegate.run(roundingContext);
         turns.count(handled);
         return handled;
     }
 
-    private IoHandlerContext told;
-    private final IoHandlerContext rounded = new IoHandlerContext() {
-        @Override
-        public boolean canBlock() {
-            return told.canBlock();
-        }
-
-        @Override
-        public long delayNanos(long now) {
-            return wholeMilliseconds(told.delayNanos(now));
-        }
-
-        @Override
-        public long deadlineNanos() {
-            return told.deadlineNanos();
-        }
-
-        @Override
-        public void reportActiveIoTime(long nanos) {
-            told.reportActiveIoTime(nanos);
-        }
-
-        @Override
-        public boolean shouldReportActiveIoTime() {
-            return told.shouldReportActiveIoTime();
-        }
-    };
-
     @Override
     public void initialize() {
-        usual.initialize();
+        delegate.initialize();
     }
 
     @Override
     public void prepareToDestroy() {
-        usual.prepareToDestroy();
+        delegate.prepareToDestroy();
     }
 
     @Override
     public void destroy() {
-        usual.destroy();
+        delegate.destroy();
     }
 
     @Override
     public IoRegistration register(IoHandle handle) throws Exception {
-        return usual.register(handle);
+        return delegate.register(handle);
     }
 
     @Override
     public void wakeup() {
-        usual.wakeup();
+        delegate.wakeup();
     }
 
     @Override
     public boolean isCompatible(Class<? extends IoHandle> handle) {
-        return usual.isCompatible(handle);
+        return delegate.isCompatible(handle);
+    }
+
+    /** The context of the turn under way, but for its delay. */
+    private static final class RoundingContext implements IoHandlerContext {
+        private IoHandlerContext delegate;
+
+        @Override
+        public boolean canBlock() {
+            return delegate.canBlock();
+        }
+
+        @Override
+        public long delayNanos(long now) {
+            return wholeMilliseconds(delegate.delayNanos(now));
+        }
+
+        @Override
+        public long deadlineNanos() {
+            return delegate.deadlineNanos();
+        }
+
+        @Override
+        public void reportActiveIoTime(long nanos) {
+            delegate.reportActiveIoTime(nanos);
+        }
+
+        @Override
+        public boolean shouldReportActiveIoTime() {
+            return delegate.shouldReportActiveIoTime();
+        }
     }
 }
