--- /dev/null
+++ b/sidecar/src/test/java/trestlegrade/runtime/PolicyEventQueueTest.java
@@ -0,0 +1,99 @@
+package trestlegrade.runtime;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.vertx.core.Context;
+import io.vertx.core.Handler;
+import io.vertx.core.Vertx;
+import java.lang.reflect.Proxy;
+import java.util.ArrayList;
+import java.util.List;
+import org.HdrHistogram.Histogram;
+import org.junit.jupiter.api.Test;
+
+/**
+ * After a stall requests and an endpoint list wait together. A request that were decided on first would be sent to an
+ * endpoint that the list says is draining.
+ */
+class PolicyEventQueueTest {
+    private long now = 1_000;
+    private final List<Handler<Void>> turns = new ArrayList<>();
+    private final List<String> order = new ArrayList<>();
+    private final List<RuntimeException> faults = new ArrayList<>();
+    private final PolicyEventQueue queue = new PolicyEventQueue(loop(), faults::add);
+
+    private EventLoopContext loop() {
+        MonotonicClock clock = new MonotonicClock() {
+            @Override
+            public long now() {
+                return now;
+            }
+        };
+        Vertx vertx = (Vertx) Proxy.newProxyInstance(
+                Vertx.class.getClassLoader(), new Class<?>[] {Vertx.class}, (proxy, method, arguments) -> 0L);
+        EventLoopLag lag = new EventLoopLag(vertx, clock, new Histogram(600_000, 2));
+        return new EventLoopContext(vertx, context(), clock, lag);
+    }
+
+    @SuppressWarnings("unchecked")
+    private Context context() {
+        return (Context) Proxy.newProxyInstance(
+                Context.class.getClassLoader(), new Class<?>[] {Context.class}, (proxy, method, arguments) -> {
+                    assertEquals("runOnContext", method.getName());
+                    turns.add((Handler<Void>) arguments[0]);
+                    return null;
+                });
+    }
+
+    private void runTurn() {
+        turns.remove(0).handle(null);
+    }
+
+    @Test
+    void endpointListsRunBeforeEventsThatCameEarlier() {
+        queue.submit(() -> order.add("first"));
+        queue.submit(() -> order.add("second"));
+        queue.submitEndpointListEvent(() -> order.add("list"));
+        assertEquals(1, turns.size(), "one turn for all that waits");
+        runTurn();
+        assertEquals(List.of("list", "first", "second"), order);
+    }
+
+    @Test
+    void aListThatComesDuringATurnRunsBeforeWhatStillWaits() {
+        queue.submit(() -> {
+            order.add("first");
+            queue.submitEndpointListEvent(() -> order.add("list"));
+        });
+        queue.submit(() -> order.add("second"));
+        runTurn();
+        assertEquals(List.of("first", "list", "second"), order);
+    }
+
+    @Test
+    void oneFaultyEventDoesNotKeepTheOthersFromRunning() {
+        IllegalStateException fault = new IllegalStateException("seen by the handler");
+        queue.submit(() -> {
+            throw fault;
+        });
+        queue.submit(() -> order.add("second"));
+        runTurn();
+        assertEquals(List.of(fault), faults);
+        assertEquals(List.of("second"), order);
+    }
+
+    @Test
+    void allEventsOfATurnSeeOneTimeThatNeverGoesBack() {
+        List<Long> times = new ArrayList<>();
+        queue.submit(() -> {
+            times.add(queue.now());
+            now += 7;
+        });
+        queue.submit(() -> times.add(queue.now()));
+        runTurn();
+        now -= 100;
+        queue.submit(() -> times.add(queue.now()));
+        runTurn();
+        assertEquals(List.of(1_000L, 1_000L, 1_000L), times);
+    }
+}
