--- a/sidecar/src/main/java/trestlegrade/metrics/RejectionCounters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/RejectionCounters.java
@@ -7,6 +7,7 @@
 import java.util.stream.Collectors;
 import org.tinylog.Logger;
 import trestlegrade.inbound.InboundRequest;
+import trestlegrade.inbound.ProtocolFields;
 import trestlegrade.policy.request.RejectionReason;
 import trestlegrade.runtime.MonotonicClock;
 
@@ -52,9 +53,9 @@
             return;
         }
         tally.sampledAt = now;
-        String id = request.head.get("X-Trace-Id");
+        String id = request.head.headers().get(ProtocolFields.TRACE_ID);
         String endpoints = attemptedEndpoints(request);
-        long leftMillis = (request.end - now) / MonotonicClock.TICKS_PER_MILLI;
+        long leftMillis = (request.metadata.deadline() - now) / MonotonicClock.TICKS_PER_MILLI;
         long sinceSample = tally.sinceSample;
         tally.sinceSample = 0;
         log.add(() -> Logger.info(
--- a/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
@@ -114,7 +114,11 @@
 
     /** Ends an attempt; at its request's deadline as timed out, for its own timer may come just behind this. */
     public void cancel(OutboundAttempt attempt) {
-        settle(attempt, clock.now() < attempt.request.end ? AttemptOutcome.CALLED_OFF : AttemptOutcome.TIMED_OUT);
+        settle(
+                attempt,
+                clock.now() < attempt.request.metadata.deadline()
+                        ? AttemptOutcome.CALLED_OFF
+                        : AttemptOutcome.TIMED_OUT);
     }
 
     @Override
--- a/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
@@ -89,7 +89,7 @@
 
     /** Connections that are open or being opened. */
     int size() {
-        return descriptors.held();
+        return descriptors.inUse();
     }
 
     /**
@@ -102,7 +102,7 @@
             return null;
         }
         long now = loop.clock().now();
-        boolean idempotent = attempt.request.repeatable;
+        boolean idempotent = attempt.request.metadata.idempotent();
         for (Iterator<PooledConnection> each = idle.descendingIterator(); each.hasNext(); ) {
             PooledConnection connection = each.next();
             long idleTicks = now - connection.idleSinceTicks;
@@ -119,7 +119,7 @@
 
     /** Whether another connection may be opened, if need be because an idle one has been closed for it. */
     boolean makeRoom() {
-        return !descriptors.full() || closeOneIdle();
+        return !descriptors.isExhausted() || closeOneIdle();
     }
 
     private boolean closeOneIdle() {
@@ -135,14 +135,14 @@
 
     /** Opens a connection for an attempt; the listener is told of the result. */
     void connect(OutboundAttempt attempt) {
-        descriptors.take();
+        descriptors.acquire();
         counters.connectionsRequested++;
         Endpoint endpoint = attempt.endpoint;
         long requestedTicks = loop.clock().now();
         client.connect(new ConnectOptions().setRemoteAddress(endpoint.address).setTimeout((int) connectTimeoutMillis))
                 .onSuccess(socket -> opened(attempt, socket, requestedTicks))
                 .onFailure(e -> {
-                    descriptors.giveBack();
+                    descriptors.release();
                     long tookTicks = loop.clock().now() - requestedTicks;
                     count(ConnectionEnd.CONNECT_FAILED, endpoint, 0, tookTicks);
                     listener.connectFailed(attempt);
@@ -161,7 +161,7 @@
     }
 
     private void closed(PooledConnection connection) {
-        descriptors.giveBack();
+        descriptors.release();
         connection.closed = true;
         ConnectionEnd end = connection.end;
         if (end == null) {
--- a/sidecar/src/main/java/trestlegrade/outbound/PooledConnection.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/PooledConnection.java
@@ -79,7 +79,7 @@
     Future<Void> write(OutboundAttempt next, long now) {
         attempt = next;
         attemptsCarried++;
-        return socket.writeMessage(HeaderRules.attempt(next.request, next.request.end - now));
+        return socket.writeMessage(HeaderRules.attemptMessage(next.request, next.request.metadata.deadline() - now));
     }
 
     /**
@@ -116,14 +116,14 @@
     private void readHead(HttpResponse head) {
         attempt.responseHead = head;
         body = Buffer.buffer();
-        if (HeaderRules.length(head.headers().get("Content-Length")) > InboundHttpServer.LONGEST_BODY) {
+        if (HeaderRules.contentLength(head.headers().get("Content-Length")) > InboundHttpServer.MAX_BODY_BYTES) {
             listener.responseFailed(attempt, ConnectionEnd.OVERSIZED);
         }
     }
 
     private void readContent(HttpContent content) {
         int length = body.length() + content.content().readableBytes();
-        if (length > InboundHttpServer.LONGEST_BODY) {
+        if (length > InboundHttpServer.MAX_BODY_BYTES) {
             listener.responseFailed(attempt, ConnectionEnd.OVERSIZED);
             return;
         }
@@ -146,7 +146,7 @@
 
     @Override
     public boolean responseHasNoBody() {
-        return attempt != null && attempt.request.method.equals("HEAD");
+        return attempt != null && attempt.request.head.method().equals("HEAD");
     }
 
     @Override
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -64,7 +64,7 @@
         events.submitEndpointListEvent(() -> {
             LoadBalancer loadBalancer = generations.current().loadBalancer();
             loadBalancer.start(events.now());
-            loadBalancer.listed(events.now(), endpoints.take(lastKnownList, true), true, true);
+            loadBalancer.onEndpointUpdates(events.now(), endpoints.take(lastKnownList, true), true, true);
             // The load balancer asks for the watch in some membership modes only; the list comes by it in all.
             endpointListWatch.run();
         });
@@ -82,7 +82,7 @@
             generations.replaceCurrent(new PolicyGeneration(this, zoned, seed, lease));
             LoadBalancer loadBalancer = generations.current().loadBalancer();
             loadBalancer.start(events.now());
-            loadBalancer.listed(events.now(), endpoints.all(), true, true);
+            loadBalancer.onEndpointUpdates(events.now(), endpoints.all(), true, true);
         });
     }
 
@@ -103,14 +103,14 @@
             long now = events.now();
             generation
                     .loadBalancer()
-                    .arrived(
+                    .onArrival(
                             now,
                             request.id,
-                            request.profile,
-                            request.customer,
-                            request.key,
-                            request.end - now,
-                            request.cost);
+                            request.metadata.profile(),
+                            request.metadata.customer(),
+                            request.metadata.affinityKey(),
+                            request.metadata.deadline() - now,
+                            request.metadata.costHintTicks());
             forgetIfOver(request);
         });
     }
@@ -129,7 +129,7 @@
         }
         request.clientLeft(counters);
         if (request.generation != null) {
-            request.generation.loadBalancer().clientLeft(events.now(), request.id);
+            request.generation.loadBalancer().onClientDisconnected(events.now(), request.id);
         }
     }
 
@@ -148,7 +148,7 @@
             }
             request.generation
                     .loadBalancer()
-                    .attemptEnded(
+                    .onAttemptEnded(
                             events.now(),
                             request.id,
                             attempt.number,
@@ -162,7 +162,10 @@
     private void commit(OutboundAttempt attempt) {
         var headers = attempt.responseHead.headers();
         attempt.request
-                .commit(HeaderRules.onward(headers, headers.get("Connection")), attempt.responseBody, counters)
+                .commit(
+                        HeaderRules.forwardedHeaders(headers, headers.get("Connection")),
+                        attempt.responseBody,
+                        counters)
                 .onComplete(written -> attempt.responseMemory.release());
         counters.recordAttemptDuration(loop.clock().now() - attempt.sentTicks);
     }
@@ -176,19 +179,19 @@
         events.submitEndpointListEvent(() -> {
             List<EndpointUpdate> updates = endpoints.take(entries, complete);
             long now = events.now();
-            generations.forEachLoadBalancer(each -> each.listed(now, updates, complete, false));
+            generations.forEachLoadBalancer(each -> each.onEndpointUpdates(now, updates, complete, false));
         });
     }
 
     /** The watch of the endpoint list has ended without a successor. */
     public void endpointListWatchFailed() {
         events.submitEndpointListEvent(
-                () -> generations.current().loadBalancer().listFailed(events.now()));
+                () -> generations.current().loadBalancer().onEndpointListFailed(events.now()));
     }
 
     /** Graceful shutdown: each open transaction gets its final answer by then, a time in ticks. */
     public void drainBy(long endTicks) {
-        events.submit(() -> generations.forEachLoadBalancer(each -> each.endBy(endTicks)));
+        events.submit(() -> generations.forEachLoadBalancer(each -> each.shutDownBy(endTicks)));
     }
 
     /** Transactions that wait for their final answer or have attempts in flight. */
@@ -239,9 +242,9 @@
         forgetIfOver(request);
     }
 
-    void scheduleWakeUp(LoadBalancer loadBalancer, long delayTicks) {
+    void scheduleTick(LoadBalancer loadBalancer, long delayTicks) {
         long delayMillis = Math.max(1, delayTicks / MonotonicClock.TICKS_PER_MILLI);
-        loop.vertx().setTimer(delayMillis, t -> events.submit(() -> loadBalancer.woken(events.now())));
+        loop.vertx().setTimer(delayMillis, t -> events.submit(() -> loadBalancer.onTick(events.now())));
     }
 
     void watchEndpointList() {
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyGeneration.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyGeneration.java
@@ -40,28 +40,28 @@
     }
 
     @Override
-    public void send(long tx, long endpoint, long timeout, long writtenBefore) {
-        executor.startAttempt(tx, endpoint, timeout, writtenBefore);
+    public void send(long transactionId, long endpointId, long timeoutTicks, long writeBefore) {
+        executor.startAttempt(transactionId, endpointId, timeoutTicks, writeBefore);
     }
 
     @Override
-    public void callOff(long tx, int attempt) {
-        executor.cancelAttempt(tx, attempt);
+    public void cancel(long transactionId, int attempt) {
+        executor.cancelAttempt(transactionId, attempt);
     }
 
     @Override
-    public void rollBack(long tx, long pause, RejectionReason why) {
-        executor.rollBack(tx, pause, why);
+    public void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason) {
+        executor.rollBack(transactionId, retryAfterTicks, reason);
     }
 
     @Override
-    public void abandon(long tx, RejectionReason why) {
-        executor.abandon(tx, why);
+    public void abandon(long transactionId, RejectionReason reason) {
+        executor.abandon(transactionId, reason);
     }
 
     @Override
-    public void wake(long span) {
-        executor.scheduleWakeUp(loadBalancer, span);
+    public void scheduleTick(long delayTicks) {
+        executor.scheduleTick(loadBalancer, delayTicks);
     }
 
     @Override
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyGenerations.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyGenerations.java
@@ -25,8 +25,10 @@
 
     /** Transactions that the decisions hold, under all settings in use. */
     int heldTransactions() {
-        return current.loadBalancer().held()
-                + retiring.stream().mapToInt(each -> each.loadBalancer().held()).sum();
+        return current.loadBalancer().heldTransactions()
+                + retiring.stream()
+                        .mapToInt(each -> each.loadBalancer().heldTransactions())
+                        .sum();
     }
 
     /** Lets another generation take new transactions; the one before stays until its last transaction has ended. */
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -8,6 +8,7 @@
 import org.tinylog.Logger;
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.discovery.DiscoveryClient;
+import trestlegrade.discovery.EndpointListSource;
 import trestlegrade.discovery.EndpointRegistry;
 import trestlegrade.inbound.BoundedTransport;
 import trestlegrade.inbound.DescriptorBudget;
@@ -40,7 +41,7 @@
     private AttemptSender attemptSender;
     private EndpointRegistry endpoints;
     private InboundHttpServer inboundServer;
-    private DiscoveryClient discovery;
+    private EndpointListSource discovery;
 
     Sidecar(SidecarConfig config, Counters counters) {
         startConfig = config;
@@ -82,7 +83,7 @@
         registerGauges();
         policyExecutor.start(endpoints, attemptSender, discovery::watch, startConfig.known());
         return discovery
-                .relied()
+                .firstListReceived()
                 .compose(v -> inboundServer.listen())
                 .onFailure(this::logListenFailed)
                 .compose(v -> warmUp())
@@ -96,13 +97,11 @@
         endpoints =
                 new EndpointRegistry(startConfig.zones(), startConfig.kinds(), attemptSender::closeOutdated, counters);
         discovery = new DiscoveryClient(
-                loop.vertx(),
-                loop.clock(),
-                counters,
-                loop.lag(),
+                new DiscoveryClient.Surroundings(loop.vertx(), loop.clock(), counters, loop.lag()),
                 startConfig.discovery(),
                 startConfig.version(),
-                policyExecutor,
+                policyExecutor::applyEndpointList,
+                policyExecutor::endpointListWatchFailed,
                 lease,
                 startConfig.seed() + 1);
         discovery.adopt(startConfig.terms());
@@ -130,7 +129,7 @@
     }
 
     private void becomeReady(int warmUpTransactions, long startTicks) {
-        inboundServer.ready();
+        inboundServer.markReady();
         long startMillis = (loop.clock().now() - startTicks) / MonotonicClock.TICKS_PER_MILLI;
         log.add(() -> Logger.info("serve code=ready rehearsed={} after_ms={}", warmUpTransactions, startMillis));
     }
@@ -140,13 +139,13 @@
         counters.gauge("transactions", policyExecutor::openTransactions);
         counters.gauge("decided_on", policyExecutor::heldTransactions);
         counters.gauge("settings_in_use", policyExecutor::generationCount);
-        counters.gauge("open_ids", inboundServer::openIds);
-        counters.gauge("request_body_kb", () -> inboundServer.bodyBytes() >> 10);
+        counters.gauge("open_ids", inboundServer::openTraceIds);
+        counters.gauge("request_body_kb", () -> inboundServer.requestBodyBytes() >> 10);
         counters.gauge("answer_body_kb", () -> attemptSender.responseBodyBytes() >> 10);
         counters.gauge("clients", inboundServer::connections);
         counters.gauge("pooled", attemptSender::connections);
         counters.gauge("list_version", discovery::version);
-        counters.gauge("list_unconfirmed_ms", discovery::age);
+        counters.gauge("list_unconfirmed_ms", discovery::ageMillis);
         HeapMonitor.start(loop.vertx(), counters);
     }
 
@@ -164,9 +163,9 @@
         }
         currentConfig = config;
         attemptSender.reload(config);
-        inboundServer.adopt(config);
+        inboundServer.applyConfig(config);
         discovery.adopt(config.terms());
-        lease.grace(config.drainGrace());
+        lease.setDrainGrace(config.drainGrace());
         policyExecutor.reload(config.terms(), startConfig.seed(), zoneName(config));
         int open = policyExecutor.openTransactions();
         log.add(() -> Logger.info("reload code=adopted open={}", open));
@@ -182,6 +181,6 @@
     void drain(Runnable drained) {
         int open = policyExecutor.openTransactions();
         log.add(() -> Logger.info("serve code=leaving open={}", open));
-        inboundServer.leave(drained);
+        inboundServer.shutDown(drained);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
@@ -10,6 +10,8 @@
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.discovery.EndpointRegistry;
 import trestlegrade.inbound.InboundRequest;
+import trestlegrade.inbound.RequestHead;
+import trestlegrade.inbound.RequestMetadata;
 import trestlegrade.metrics.AsyncLog;
 import trestlegrade.metrics.Counters;
 import trestlegrade.outbound.AttemptSender;
@@ -96,16 +98,15 @@
         int profile = sent % config.profiles().size();
         long now = clock.now();
         policyExecutor.requestArrived(new InboundRequest(
-                sent++ % 2 == 0 ? "GET" : "POST",
-                TARGET,
-                HttpHeaders.headers(),
+                new RequestHead(sent++ % 2 == 0 ? "GET" : "POST", TARGET, HttpHeaders.headers()),
                 body,
-                profile,
-                false,
-                0,
-                sent,
-                now + config.terms().profiles().get(profile).deadline(),
-                0,
+                new RequestMetadata(
+                        profile,
+                        false,
+                        0,
+                        sent,
+                        now + config.terms().profiles().get(profile).deadline(),
+                        0),
                 this));
     }
 
@@ -132,7 +133,7 @@
     }
 
     @Override
-    public boolean gone() {
+    public boolean isDisconnected() {
         return false;
     }
 
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -98,9 +98,9 @@
     void loseDiscovery(boolean moved) {
         discoveryReachable = false;
         if (moved) {
-            sidecars.forEach(each -> each.lease.moved(now));
+            sidecars.forEach(each -> each.lease.discoveryMoved(now));
         } else {
-            sidecars.get(0).lease.unwatched(now);
+            sidecars.get(0).lease.pushWatchEnded(now);
         }
     }
 
@@ -110,7 +110,7 @@
 
     /** Every sidecar's watch on the list ends, and calls of discovery fail until it recovers. */
     void failWatches() {
-        sidecars.forEach(each -> each.balance.listFailed(now));
+        sidecars.forEach(each -> each.balance.onEndpointListFailed(now));
     }
 
     void restartSidecar(int index) {
@@ -118,7 +118,7 @@
     }
 
     void endSidecarsBy(long span) {
-        sidecars.forEach(each -> each.balance.endBy(now + span));
+        sidecars.forEach(each -> each.balance.shutDownBy(now + span));
     }
 
     /** Every endpoint and discovery are well again. */
@@ -213,7 +213,7 @@
             return;
         }
         for (Sidecar each : sidecars) {
-            each.lease.confirmed(now);
+            each.lease.renew(now);
             if (scenario.liveWeights() || each.toldVersion != listVersion) {
                 each.list(random.nextInt(4) == 0);
             }
@@ -265,7 +265,7 @@
             toldVersion = listVersion;
             List<EndpointUpdate> rows = endpoints.stream().map(Endpoint::row).toList();
             boolean whole = random.nextInt(5) != 0;
-            balance.listed(now, rows, whole, old);
+            balance.onEndpointUpdates(now, rows, whole, old);
         }
 
         private void arrive(boolean again) {
@@ -277,10 +277,10 @@
             long patience = (300 + random.nextInt(700)) * MILLISECOND;
             long cost = random.nextInt(4) == 0 ? 0 : 500 + random.nextInt(1_000);
             profiles.put(id, profile);
-            balance.arrived(now, id, profile, customer, key, patience, cost);
+            balance.onArrival(now, id, profile, customer, key, patience, cost);
             if (random.nextInt(100) == 0) {
                 LoadBalancer taker = balance;
-                after(random.nextInt(100) * MILLISECOND, () -> taker.clientLeft(now, id));
+                after(random.nextInt(100) * MILLISECOND, () -> taker.onClientDisconnected(now, id));
             }
             if (again) {
                 double rate = scenario.arrivalsPerSecond(((now / SECOND) - 1_000) % 30);
@@ -318,7 +318,7 @@
                 end(sent, random.nextInt(3) == 0 ? AttemptOutcome.BROKEN : AttemptOutcome.ERROR, took);
             } else {
                 if (random.nextInt(20) == 0) {
-                    after(took / 2, () -> sent.by().streaming(sent.transaction(), sent.attempt()));
+                    after(took / 2, () -> sent.by().onStreaming(sent.transaction(), sent.attempt()));
                 }
                 end(sent, AttemptOutcome.COMMITTED, took);
             }
@@ -337,12 +337,12 @@
             if (sent.endpoint() != null && sent.endpoint().inFlight > 0) {
                 sent.endpoint().inFlight--;
             }
-            balance.attemptEnded(
+            balance.onAttemptEnded(
                     now, sent.transaction(), sent.attempt(), outcome, took, outcome == AttemptOutcome.COMMITTED);
         }
 
         @Override
-        public void callOff(long tx, int attempt) {
+        public void cancel(long tx, int attempt) {
             record(2, tx, attempt, 0, 0);
             for (Sent each : List.copyOf(out.getOrDefault(tx, List.of()))) {
                 if (each.attempt() == attempt) {
@@ -365,10 +365,10 @@
         }
 
         @Override
-        public void wake(long span) {
+        public void scheduleTick(long span) {
             record(5, span, 0, 0, 0);
             LoadBalancer woken = balance;
-            after(span, () -> woken.woken(now));
+            after(span, () -> woken.onTick(now));
         }
 
         @Override
@@ -376,10 +376,10 @@
             record(6, 0, 0, 0, 0);
             after(5 * MILLISECOND, () -> {
                 if (discoveryReachable) {
-                    lease.confirmed(now);
+                    lease.renew(now);
                     list(false);
                 } else {
-                    balance.listFailed(now);
+                    balance.onEndpointListFailed(now);
                 }
             });
         }
