--- a/sidecar/src/main/java/trestlegrade/runtime/ConfigReloader.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/ConfigReloader.java
@@ -4,6 +4,7 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 import trestlegrade.config.SidecarConfig;
+import trestlegrade.config.SidecarConfigReader;
 import trestlegrade.metrics.AsyncLog;
 
 /**
@@ -34,7 +35,7 @@
     private synchronized void reload() {
         SidecarConfig config;
         try {
-            config = SidecarConfig.read(environment);
+            config = SidecarConfigReader.read(environment);
         } catch (RuntimeException e) {
             log.add(() -> Logger.warn("reload code=unreadable cause={}", e.getMessage()));
             return;
--- a/sidecar/src/main/java/trestlegrade/runtime/SidecarProcess.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/SidecarProcess.java
@@ -6,6 +6,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.tinylog.Logger;
 import trestlegrade.config.SidecarConfig;
+import trestlegrade.config.SidecarConfigReader;
 import trestlegrade.metrics.AsyncLog;
 import trestlegrade.metrics.Counters;
 
@@ -34,7 +35,7 @@
     public static void serve(Map<String, String> environment) {
         SidecarConfig config;
         try {
-            config = SidecarConfig.read(environment);
+            config = SidecarConfigReader.read(environment);
         } catch (RuntimeException e) {
             System.err.println("serve: " + e.getMessage());
             return;
--- a/sidecar/src/main/java/trestlegrade/runtime/StartupCheck.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/StartupCheck.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import trestlegrade.config.SidecarConfig;
+import trestlegrade.config.SidecarConfigReader;
 import trestlegrade.metrics.AsyncLog;
 import trestlegrade.metrics.Counters;
 
@@ -40,7 +40,7 @@
      */
     public static int run() throws IOException, TimeoutException {
         JsonObject file = new JsonObject(CONFIG).put("listen", "127.0.0.1:" + freePort());
-        Sidecar sidecar = new Sidecar(SidecarConfig.of(file, Map.of()), new Counters(new AsyncLog()));
+        Sidecar sidecar = new Sidecar(SidecarConfigReader.of(file, Map.of()), new Counters(new AsyncLog()));
         Vertx vertx = sidecar.createVertx();
         Context context = vertx.getOrCreateContext();
         return Future.<Integer>future(ready ->
