--- a/lab/src/main/java/trestlegrade/lab/cost/StandIns.java
+++ b/lab/src/main/java/trestlegrade/lab/cost/StandIns.java
@@ -92,7 +92,8 @@
         String entries = IntStream.range(0, ENDPOINTS)
                 .mapToObj(endpoint -> entry(endpoint, 1.0))
                 .collect(Collectors.joining(","));
-        // Whoever has read the list may send an update at once, and an update must not come before the list.
+        // Whoever has read the list may send an update at once: the watch is known before, and updates wait behind the
+        // list.
         synchronized (out) {
             watch = out;
             write(out, "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entries + "]}\n");
