--- a/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
@@ -116,7 +116,7 @@
         // Deadlines shorter than the wait for new clients: the last responses come after them, but before the kill.
         long respondMillis = Math.max(deadlineMillis, NEW_CLIENTS_MILLIS) + RESPONSE_MARGIN_MILLIS;
         lastResponseAt = clock.now() + respondMillis * TICKS_PER_MILLISECOND;
-        executor.endBy(lastResponseAt);
+        executor.drainBy(lastResponseAt);
         long closeMillis = respondMillis + RESPONSE_MARGIN_MILLIS - config.longestGoal() / 2;
         vertx.setTimer(NEW_CLIENTS_MILLIS, t -> newClientsAwaited());
         vertx.setTimer(Math.max(NEW_CLIENTS_MILLIS, closeMillis), t -> close());
--- a/sidecar/src/test/java/trestlegrade/runtime/WarmUpTest.java
+++ b/sidecar/src/test/java/trestlegrade/runtime/WarmUpTest.java
@@ -11,6 +11,6 @@
     @ParameterizedTest
     @CsvSource({"Infinity, 1000", "500, 1000", "62.5, 1000", "8, 7812", "1, 62500"})
     void warmUpLastsUntilItKeepsUpWithTheAgreedRate(double agreedRate, long round) {
-        assertEquals(round, WarmUp.quickRound(agreedRate));
+        assertEquals(round, WarmUp.fastRoundTicks(agreedRate));
     }
 }
