--- a/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
@@ -9,12 +9,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import trestlegrade.policy.PolicyHarness;
+import trestlegrade.policy.PolicyHarness.FinalAnswer;
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 import trestlegrade.policy.request.AttemptOutcome;
 import trestlegrade.policy.request.RejectionReason;
 import trestlegrade.policy.settings.PolicySettings.Group;
 
-/** The lease of the list; times in ticks (tenths of a millisecond), confirmed at 100,000 first. */
+/** The lease of the list; times in tenths of a millisecond, confirmed at 100,000 first. */
 class EndpointListLeaseTest {
 
     /**
@@ -62,7 +63,7 @@
     }
 
     @Test
-    void aPermanentLeaseNeverEnds() {
+    void aPermanentOneNeverEnds() {
         assertTrue(EndpointListLease.permanent().valid(Long.MAX_VALUE / 2));
     }
 
@@ -78,22 +79,22 @@
         harness.end(harness.last(), AttemptOutcome.NO_CONNECTION, 100);
         harness.arrive(0);
         assertEquals(1, harness.sent.size());
-        assertEquals("rolled back " + open, harness.answers.get(0));
+        assertEquals(FinalAnswer.rolledBack(open), harness.answers.get(0));
         assertEquals(2, harness.answers.size());
-        assertEquals(0, harness.balance.heldTransactions());
-        assertEquals(List.of(RejectionReason.STALE_LIST, RejectionReason.STALE_LIST), harness.refusals);
+        assertEquals(0, harness.loadBalancer.heldTransactions());
+        assertEquals(List.of(RejectionReason.STALE_LIST, RejectionReason.STALE_LIST), harness.rejectionReasons);
         lease.renew(harness.now);
-        harness.pass(100);
+        harness.advance(100);
         harness.arrive(0);
         assertEquals(2, harness.sent.size());
     }
 
     /**
      * Discovery says nothing for a minute: those that serve are sent to, one that drains no later than that may count
-     * as notified.
+     * as told.
      */
     @Test
-    void endpointsThatServeAreSentToWithoutDiscovery() {
+    void serversThatServeAreSentToWithoutDiscovery() {
         EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
         PolicyHarness harness = new PolicyHarness(lease, Group.ALL, 3).fleet(State.READY, 0);
         harness.traffic(100_000, 100, AttemptOutcome.COMMITTED, 200);
@@ -102,17 +103,16 @@
         assertTrue(drains < 3, drains + " to the one that drains");
         assertTrue(harness.sent.size() - before > 3_000, harness.sent.size() - before + " sent");
         assertEquals(0, harness.traffic(433_000, 100, AttemptOutcome.COMMITTED, 200));
-        assertFalse(harness.refusals.contains(RejectionReason.STALE_LIST));
+        assertFalse(harness.rejectionReasons.contains(RejectionReason.STALE_LIST));
         lease.renew(harness.now);
         assertTrue(harness.traffic(50_000, 100, AttemptOutcome.COMMITTED, 200) > 0);
     }
 
     /**
-     * One that has served nothing for as long as it takes until a change counts as notified may have begun to drain
-     * right after that.
+     * One that has served nothing for as long as a change takes to be told may have begun to drain right after that.
      */
     @Test
-    void whatAnEndpointServedLongAgoTellsNothing() {
+    void whatAServerServedLongAgoTellsNothing() {
         EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
         PolicyHarness harness = new PolicyHarness(lease, Group.ALL, 3).fleet(State.READY, 0);
         harness.now += 60_000;
