--- a/lab/src/main/java/trestlegrade/lab/cost/CostTable.java
+++ b/lab/src/main/java/trestlegrade/lab/cost/CostTable.java
@@ -11,11 +11,13 @@
         this.out = out;
     }
 
+    /** Prints the head of the table. */
     void header() {
         out.println("| what | processor time | unit |");
         out.println("| --- | --- | --- |");
     }
 
+    /** Prints one figure with its unit. */
     void row(String what, double figure, String unit) {
         out.printf(Locale.ROOT, "| %-58s | %9.3f | %s |%n", what, figure, unit);
     }
--- a/lab/src/main/java/trestlegrade/lab/cost/MeasuredSidecar.java
+++ b/lab/src/main/java/trestlegrade/lab/cost/MeasuredSidecar.java
@@ -84,6 +84,7 @@
         }
     }
 
+    /** Where clients reach it. */
     int port() {
         return port;
     }
@@ -96,10 +97,12 @@
                 * (Long.parseLong(fields[STAT_USER_TIME]) + Long.parseLong(fields[STAT_SYSTEM_TIME]));
     }
 
+    /** Resident memory now. */
     double residentMegabytes() throws IOException {
         return status("VmRSS") / 1024;
     }
 
+    /** The number of threads now. */
     double threads() throws IOException {
         return status("Threads");
     }
--- a/lab/src/main/java/trestlegrade/lab/cost/StandIns.java
+++ b/lab/src/main/java/trestlegrade/lab/cost/StandIns.java
@@ -45,6 +45,7 @@
         System.setProperty("sun.net.httpserver.maxIdleConnections", "10000");
     }
 
+    /** Where the sidecar finds discovery. */
     int discoveryPort() {
         return discoveryPort;
     }
--- a/lab/src/main/java/trestlegrade/lab/soak/BackgroundTasks.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/BackgroundTasks.java
@@ -21,6 +21,7 @@
         return thread;
     });
 
+    /** Starts a task on a thread of its own; does nothing once the run has ended. */
     void run(String name, Task task) {
         if (threads.isShutdown()) {
             return;
--- a/lab/src/main/java/trestlegrade/lab/soak/ByteArrivalTimes.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/ByteArrivalTimes.java
@@ -12,6 +12,7 @@
 
     private long length;
 
+    /** Notes that so many further bytes came at this time, in nanoseconds. */
     synchronized void add(int count, long at) {
         length += count;
         ends.put(length, at);
@@ -20,6 +21,11 @@
         }
     }
 
+    /**
+     * When the byte at this place came, in nanoseconds.
+     *
+     * @throws IllegalArgumentException if it has not come
+     */
     synchronized long timeOf(long offset) {
         Map.Entry<Long, Long> chunk = ends.higherEntry(offset);
         if (chunk == null) {
--- a/lab/src/main/java/trestlegrade/lab/soak/EventRecorder.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/EventRecorder.java
@@ -13,6 +13,7 @@
 
     private final ConcurrentLinkedQueue<Event> events = new ConcurrentLinkedQueue<>();
 
+    /** Takes an event from any thread. */
     void add(Event event) {
         events.add(event);
     }
--- a/lab/src/main/java/trestlegrade/lab/soak/FaultPlan.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/FaultPlan.java
@@ -28,6 +28,7 @@
 
     private static final int LONGEST_PAUSE = 6_000;
 
+    /** Draws the faults of a run of so many milliseconds; the same arguments always draw the same. */
     static FaultPlan draw(long seed, int milliseconds, int sidecars, int servers) {
         UniformRandomProvider random = random(seed, "faults");
         List<Fault> faults = new ArrayList<>();
--- a/lab/src/main/java/trestlegrade/lab/soak/FaultProxy.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/FaultProxy.java
@@ -76,6 +76,7 @@
         return acceptor.port();
     }
 
+    /** The link by the port from which the target sees it; null if there is none. */
     Link link(int farPort) {
         return links.get(farPort);
     }
@@ -85,6 +86,7 @@
         return System.nanoTime() < holdDownUntil;
     }
 
+    /** Holds back bytes until this time, in nanoseconds of the monotonic clock: to the target, from it, or both. */
     void hold(boolean up, boolean down, long until) {
         if (up) {
             holdUpUntil = until;
@@ -94,10 +96,12 @@
         }
     }
 
+    /** Delivers all bytes so many milliseconds later; 0 for at once. */
     void delay(int milliseconds) {
         delayMilliseconds = milliseconds;
     }
 
+    /** Delivers bytes one by one or in small pieces from now on, or no longer. */
     void pieces(boolean on) {
         pieces = on;
     }
@@ -107,6 +111,7 @@
         resetEvery = chunk;
     }
 
+    /** Resets all open links; new ones can be opened. */
     void resetAll() {
         links.values().forEach(Link::reset);
     }
--- a/lab/src/main/java/trestlegrade/lab/soak/HttpMessage.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/HttpMessage.java
@@ -61,11 +61,13 @@
             return new HttpMessage(lines[0], fields, new String(body, StandardCharsets.ISO_8859_1), begins);
         }
 
+        /** How many bytes were read so far. */
         long offset() {
             return offset;
         }
     }
 
+    /** The value of a field by its name in lower case; null if there is none. */
     String field(String name) {
         return fields.get(name);
     }
--- a/lab/src/main/java/trestlegrade/lab/soak/RequestHistory.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/RequestHistory.java
@@ -12,6 +12,7 @@
     final List<Event.AttemptSeen> attempts = new ArrayList<>();
     final List<Event.AttemptRun> runs = new ArrayList<>();
 
+    /** Takes the next event of the request. */
     void add(Event.OfRequest event) {
         events.add(event);
         if (event instanceof Event.RequestSent first) {
--- a/lab/src/main/java/trestlegrade/lab/soak/Shrinker.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Shrinker.java
@@ -17,6 +17,7 @@
         playsLeft = plays;
     }
 
+    /** The smallest plan found that still breaks the rule; the plan itself if none is smaller. */
     FaultPlan shrink(FaultPlan plan) throws IOException, InterruptedException {
         FaultPlan smallest = plan;
         for (int part = Math.max(1, plan.faults().size() / 2); part >= 1; part /= 2) {
--- a/lab/src/main/java/trestlegrade/lab/soak/SidecarProcess.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SidecarProcess.java
@@ -102,6 +102,7 @@
         return open && System.nanoTime() < openUntil;
     }
 
+    /** Starts the process and waits until it is healthy, or records that it never was. */
     synchronized void start() throws IOException, InterruptedException {
         AtomicBoolean toldToEnd = new AtomicBoolean();
         asked = toldToEnd;
@@ -184,6 +185,7 @@
         return pausedUntil;
     }
 
+    /** Notes a pause until this time, in nanoseconds of the monotonic clock. */
     void pausedUntil(long end) {
         pausedUntil = end;
     }
--- a/lab/src/main/java/trestlegrade/lab/soak/Soak.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Soak.java
@@ -46,6 +46,7 @@
         return play(FaultPlan.draw(seed, milliseconds, sidecars, servers), program.toAbsolutePath());
     }
 
+    /** Plays a plan that was drawn before. */
     static Result play(FaultPlan plan, Path program) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("soak-" + plan.seed() + "-");
         return new Soak(plan, folder, program).run();
--- a/lab/src/main/java/trestlegrade/lab/soak/StandInDiscovery.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/StandInDiscovery.java
@@ -64,6 +64,7 @@
         return relay;
     }
 
+    /** Lists a server, as active, before any sidecar has started. */
     synchronized void first(String server, int port, String zone) {
         rows.put(server, new Row(server, port, zone, "active", 0));
     }
@@ -84,6 +85,7 @@
         return line;
     }
 
+    /** Changes the status of a listed server, and sends that to all watches. */
     synchronized void change(String server, String status) {
         Row row = rows.get(server);
         long since = status.equals("active") ? System.currentTimeMillis() : row.since;
@@ -97,18 +99,22 @@
         notifyAll();
     }
 
+    /** Whether the list has this server as active. */
     synchronized boolean active(String server) {
         return rows.get(server).status.equals("active");
     }
 
+    /** Refuses each call after two seconds from now on, or no longer. */
     void crowded(boolean on) {
         crowded = on;
     }
 
+    /** Answers each call late from now on, or no longer. */
     void slow(boolean on) {
         slow = on;
     }
 
+    /** Cannot be reached from now on, and open watches are reset; or can be reached again. */
     void down(boolean on) throws IOException {
         if (on == down) {
             return;
@@ -123,10 +129,12 @@
         }
     }
 
+    /** Holds back what watches bring until this time, in nanoseconds of the monotonic clock. */
     void silent(long until) {
         relays.keySet().forEach(relay -> relay.hold(false, true, until));
     }
 
+    /** Resets all open watches; calls are answered as before. */
     void resetWatches() throws IOException {
         for (Socket watch : watches) {
             watch.setSoLinger(true, 0);
--- a/lab/src/main/java/trestlegrade/lab/soak/StandInServer.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/StandInServer.java
@@ -41,22 +41,27 @@
         return name;
     }
 
+    /** The proxy by which sidecars reach it. */
     FaultProxy proxy() {
         return proxy;
     }
 
+    /** Takes requests and never answers from now on, or answers again. */
     void hangs(boolean on) {
         hangs = on;
     }
 
+    /** Answers 500 from now on, or no longer. */
     void errs(boolean on) {
         errs = on;
     }
 
+    /** Makes some answers no HTTP, or ends them too early, from now on, or no longer. */
     void spoils(boolean on) {
         spoils = on;
     }
 
+    /** Sends each answer twice from now on, or no longer. */
     void answersTwice(boolean on) {
         answersTwice = on;
     }
