--- a/lab/src/main/java/trestlegrade/lab/soak/SoakCommand.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SoakCommand.java
@@ -9,6 +9,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
+import trestlegrade.lab.ProgramFiles;
 
 /** {@code lab soak}: plays one seed after the other, and tells of each breach. */
 @Command(
@@ -61,7 +62,7 @@
         System.out.println("seed processes faults requests attempts served breaches machine_late_ms");
         int breaches = 0;
         for (long each = seed; each < seed + runs; each++) {
-            Plan plan = Plan.draw(each, seconds * 1_000, processes, servers);
+            FaultPlan plan = FaultPlan.draw(each, seconds * 1_000, processes, servers);
             Soak.Result result = Soak.play(plan, program.toAbsolutePath());
             System.out.printf(
                     "%d %d %d %d %d %d %d %d%n",
@@ -76,7 +77,7 @@
             result.breaches().stream().limit(PRINTED_BREACHES).forEach(System.out::println);
             breaches += result.breaches().size();
             if (shrink && !result.breaches().isEmpty()) {
-                Plan smallest = new Shrinker(
+                FaultPlan smallest = new Shrinker(
                                 program.toAbsolutePath(),
                                 result.breaches().get(0).rule(),
                                 SHRINKING_PLAYS)
@@ -92,8 +93,8 @@
         require(seconds >= SHORTEST_SECONDS, "--seconds must be " + SHORTEST_SECONDS + " at least");
         require(processes >= 1, "--processes must be 1 at least");
         require(servers >= 1, "--servers must be 1 at least");
-        String missing = ProgramFiles.missing(program);
-        require(missing == null, "--program: cannot read " + missing + "; build the project first");
+        ProgramFiles.missing(program)
+                .ifPresent(file -> require(false, "--program: cannot read " + file + "; build the project first"));
     }
 
     private void require(boolean holds, String message) {
--- a/sidecar/src/main/java/trestlegrade/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/SimulatorAdapter.java
@@ -138,7 +138,7 @@
         int list = batch.i32();
         if (scope == SCOPE_FAILED) {
             if (instance != null) {
-                instance.listFailed(now);
+                instance.onEndpointListFailed(now);
             }
             return;
         }
@@ -147,7 +147,7 @@
         }
         var rows = lists.get(list);
         if (instance != null) {
-            instance.listed(now, rows, scope != SCOPE_DELTA, scope == SCOPE_CACHED);
+            instance.onEndpointUpdates(now, rows, scope != SCOPE_DELTA, scope == SCOPE_CACHED);
         }
     }
 
@@ -161,7 +161,7 @@
         boolean costValid = (batch.u16() & FLAG_COST_VALID) != 0 && costMillis > 0;
         long cost = costValid ? BatchReader.toTicks(costMillis) : 0;
         if (instance != null) {
-            instance.arrived(now, transaction, profile, customer, key, patience, cost);
+            instance.onArrival(now, transaction, profile, customer, key, patience, cost);
         }
     }
 
@@ -170,7 +170,7 @@
         int attempt = batch.u8();
         batch.skip(STREAM_BEGUN_TAIL_BYTES);
         if (instance != null) {
-            instance.streaming(transaction, attempt);
+            instance.onStreaming(transaction, attempt);
         }
     }
 
@@ -184,21 +184,21 @@
         skipLoadReport();
         AttemptOutcome outcome = outcome(outcomeCode);
         if (instance != null) {
-            instance.attemptEnded(now, transaction, attempt, outcome, took, finished);
+            instance.onAttemptEnded(now, transaction, attempt, outcome, took, finished);
         }
     }
 
     private void clientLeft(LoadBalancer instance, long now) {
         long transaction = batch.u32();
         if (instance != null) {
-            instance.clientLeft(now, transaction);
+            instance.onClientDisconnected(now, transaction);
         }
     }
 
     private void timer(LoadBalancer instance, long now) {
         batch.skip(Long.BYTES); // The token: all timers mean the same.
         if (instance != null) {
-            instance.woken(now);
+            instance.onTick(now);
         }
     }
 
--- a/sidecar/src/main/java/trestlegrade/simulator/SimulatorReply.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/SimulatorReply.java
@@ -41,34 +41,36 @@
     }
 
     @Override
-    public void send(long tx, long endpoint, long timeout, long writtenBefore) {
+    public void send(long transactionId, long endpointId, long timeoutTicks, long writeBefore) {
         record(ActionCode.SEND, 2 * Integer.BYTES + Double.BYTES)
-                .putInt((int) tx)
-                .putInt((int) endpoint)
-                .putDouble(timeout / TICKS_PER_MILLISECOND);
+                .putInt((int) transactionId)
+                .putInt((int) endpointId)
+                .putDouble(timeoutTicks / TICKS_PER_MILLISECOND);
     }
 
     @Override
-    public void callOff(long tx, int attempt) {
-        record(ActionCode.CANCEL, Integer.BYTES + Byte.BYTES).putInt((int) tx).put((byte) attempt);
+    public void cancel(long transactionId, int attempt) {
+        record(ActionCode.CANCEL, Integer.BYTES + Byte.BYTES)
+                .putInt((int) transactionId)
+                .put((byte) attempt);
     }
 
     @Override
-    public void rollBack(long tx, long pause, RejectionReason why) {
+    public void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason) {
         record(ActionCode.REJECT, Integer.BYTES + Double.BYTES)
-                .putInt((int) tx)
-                .putDouble(pause / TICKS_PER_MILLISECOND);
+                .putInt((int) transactionId)
+                .putDouble(retryAfterTicks / TICKS_PER_MILLISECOND);
     }
 
     @Override
-    public void abandon(long tx, RejectionReason why) {
-        record(ActionCode.FAIL, Integer.BYTES).putInt((int) tx);
+    public void abandon(long transactionId, RejectionReason reason) {
+        record(ActionCode.FAIL, Integer.BYTES).putInt((int) transactionId);
     }
 
     @Override
-    public void wake(long span) {
+    public void scheduleTick(long delayTicks) {
         record(ActionCode.SET_TIMER, Double.BYTES + Long.BYTES)
-                .putDouble(span / TICKS_PER_MILLISECOND)
+                .putDouble(delayTicks / TICKS_PER_MILLISECOND)
                 .putLong(0);
     }
 
--- a/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
@@ -80,7 +80,7 @@
         assertEquals(1, harness.sent.size());
         assertEquals("rolled back " + open, harness.answers.get(0));
         assertEquals(2, harness.answers.size());
-        assertEquals(0, harness.balance.held());
+        assertEquals(0, harness.balance.heldTransactions());
         assertEquals(List.of(RejectionReason.STALE_LIST, RejectionReason.STALE_LIST), harness.refusals);
         lease.renew(harness.now);
         harness.pass(100);
