--- a/sidecar/src/main/java/trestlegrade/outbound/ReuseAgeBound.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ReuseAgeBound.java
@@ -7,7 +7,7 @@
  * run, and must not be retried. The bound falls to half of the idle time at which that happened, and grows back slowly.
  */
 final class ReuseAgeBound {
-    /** Doubles the bound in 14 sweeps. */
+    /** Doubles the bound in about 14 sweeps. */
     private static final double GROWTH_PER_SWEEP = 1.05;
 
     private final long minTicks;
