--- a/lab/src/main/java/trestlegrade/lab/cost/StandIns.java
+++ b/lab/src/main/java/trestlegrade/lab/cost/StandIns.java
@@ -45,6 +45,7 @@
         System.setProperty("sun.net.httpserver.maxIdleConnections", "10000");
     }
 
+    /** Where the sidecar finds discovery. */
     int discoveryPort() {
         return discoveryPort;
     }
@@ -92,8 +93,12 @@
         String entries = IntStream.range(0, ENDPOINTS)
                 .mapToObj(endpoint -> entry(endpoint, 1.0))
                 .collect(Collectors.joining(","));
-        write(out, "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entries + "]}\n");
-        watch = out;
+        // Whoever has read the list may send an update at once: the watch is known before, and updates wait behind the
+        // list.
+        synchronized (out) {
+            watch = out;
+            write(out, "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entries + "]}\n");
+        }
         while (true) {
             Thread.sleep(KEEPALIVE_MILLIS);
             write(out, "\n");
--- a/lab/src/main/java/trestlegrade/lab/soak/ByteTimes.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/ByteArrivalTimes.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 
 /** When the bytes of a stream came, kept for the latest part of it. */
-final class ByteTimes {
+final class ByteArrivalTimes {
     private static final int KEPT = 256;
 
     /** The place behind the last byte of each chunk, and the chunk's time. */
@@ -12,6 +12,7 @@
 
     private long length;
 
+    /** Notes that so many further bytes came at this time, in nanoseconds. */
     synchronized void add(int count, long at) {
         length += count;
         ends.put(length, at);
@@ -20,6 +21,11 @@
         }
     }
 
+    /**
+     * When the byte at this place came, in nanoseconds.
+     *
+     * @throws IllegalArgumentException if it has not come
+     */
     synchronized long timeOf(long offset) {
         Map.Entry<Long, Long> chunk = ends.higherEntry(offset);
         if (chunk == null) {
--- a/lab/src/main/java/trestlegrade/lab/soak/FaultProxy.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/FaultProxy.java
@@ -14,7 +14,7 @@
     private static final int CHUNK = 16 << 10;
     private static final int PIECE = 7;
 
-    private final Background background;
+    private final BackgroundTasks background;
     private final int target;
     private final Acceptor acceptor;
     /**
@@ -29,7 +29,7 @@
     private volatile int resetEvery;
     private int chunks;
 
-    FaultProxy(Background background, int target) throws IOException {
+    FaultProxy(BackgroundTasks background, int target) throws IOException {
         this.background = background;
         this.target = target;
         acceptor = new Acceptor(background, "relay", this::relay);
@@ -39,7 +39,7 @@
     static final class Link {
         private final Socket near;
         private final Socket far;
-        private final ByteTimes sent = new ByteTimes();
+        private final ByteArrivalTimes sent = new ByteArrivalTimes();
         private volatile boolean closed;
 
         private Link(Socket near, Socket far) {
@@ -76,6 +76,7 @@
         return acceptor.port();
     }
 
+    /** The link by the port from which the target sees it; null if there is none. */
     Link link(int farPort) {
         return links.get(farPort);
     }
@@ -85,6 +86,7 @@
         return System.nanoTime() < holdDownUntil;
     }
 
+    /** Holds back bytes until this time, in nanoseconds of the monotonic clock: to the target, from it, or both. */
     void hold(boolean up, boolean down, long until) {
         if (up) {
             holdUpUntil = until;
@@ -94,10 +96,12 @@
         }
     }
 
+    /** Delivers all bytes so many milliseconds later; 0 for at once. */
     void delay(int milliseconds) {
         delayMilliseconds = milliseconds;
     }
 
+    /** Delivers bytes one by one or in small pieces from now on, or no longer. */
     void pieces(boolean on) {
         pieces = on;
     }
@@ -107,6 +111,7 @@
         resetEvery = chunk;
     }
 
+    /** Resets all open links; new ones can be opened. */
     void resetAll() {
         links.values().forEach(Link::reset);
     }
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import trestlegrade.metrics.Counters;
 import trestlegrade.outbound.OutboundAttempt;
-import trestlegrade.runtime.PolicyExecutor;
+import trestlegrade.runtime.PolicyGeneration;
 
 /**
  * One transaction of a client: the request, its attempts, and its single final response. Used on the event loop alone.
@@ -40,7 +40,7 @@
     /** Assigned by the policy executor; 0 before. */
     public long id;
     /** The settings under which it was accepted, and under which it ends; null before. */
-    public PolicyExecutor.Tenure tenure;
+    public PolicyGeneration generation;
 
     private final Client client;
     private BodyMemoryBudget.Claim bodyMemory;
--- a/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
@@ -63,7 +63,7 @@
     /** Its client has disconnected before the final response. */
     void clientDisconnected(InboundRequest transaction) {
         openTraceIds.remove(transaction.head.headers().get(ProtocolFields.TRACE_ID));
-        executor.clientLeft(transaction);
+        executor.clientDisconnected(transaction);
     }
 
     @Override
@@ -135,9 +135,9 @@
         }
         if (connection.transactionCount() == 1 && descriptors.clientWaitedLately()) {
             // It may have waited in the backlog, and its client's end with it: that is read first.
-            lag.afterReading(() -> executor.arrived(transaction));
+            lag.afterReading(() -> executor.requestArrived(transaction));
         } else {
-            executor.arrived(transaction);
+            executor.requestArrived(transaction);
         }
     }
 
--- a/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
+++ b/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
@@ -94,7 +94,7 @@
         }
         settings.append(String.join("\n", further));
         loadBalancer = new LoadBalancer(
-                PolicySettingsReader.ofLines(settings.toString()).terms(), seed, this, lease);
+                PolicySettingsReader.ofLines(settings.toString()).read(), seed, this, lease);
         loadBalancer.start(now);
     }
 
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -252,7 +252,7 @@
             generation++;
             out.clear();
             loadBalancer = new LoadBalancer(
-                    PolicySettingsReader.ofLines(scenario.settings(number)).terms(), seed, this, lease);
+                    PolicySettingsReader.ofLines(scenario.settings(number)).read(), seed, this, lease);
             loadBalancer.start(now);
             list(again);
         }
