--- a/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
@@ -67,7 +67,7 @@
                 && transaction.attempts().size() < settings.maxAttempts();
     }
 
-    /** Whether all may be tried again without harm. */
+    /** Whether the transaction may be repeated at any time. */
     public boolean isIdempotent(Transaction transaction) {
         return profile(transaction).repeat() == Repeat.IDEMPOTENT;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/selection/EndpointSelector.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/EndpointSelector.java
@@ -49,7 +49,7 @@
     private boolean suspectsExcluded;
     private double meanInFlightPerWeight;
 
-    /** Reads all of these; draws from the random source and from the affinity's and the budget's. */
+    /** Changes none of these but the random source: one number a pick, and those of zone affinity and slow start. */
     public EndpointSelector(
             PolicySettings settings,
             EndpointTable endpoints,
