--- a/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
+++ b/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
@@ -14,41 +14,42 @@
  * @param listen address on which the application is served
  * @param discovery address of the endpoint list's source
  * @param seed of all random numbers
- * @param sockets file descriptors that this process may use for sockets
- * @param version of the initial endpoint list
- * @param known entries of the initial endpoint list, as discovery writes them
- * @param terms settings of the decisions
+ * @param maxSockets file descriptors that this process may use for sockets
+ * @param initialVersion of the initial endpoint list
+ * @param initialEntries entries of the initial endpoint list, as discovery writes them
+ * @param policySettings settings of the decisions
  * @param profiles names of the classes of request, by number
  * @param customers names of the customers, by number
  * @param zones names of the zones, by number
  * @param kinds names of the kinds of machine, by number
- * @param idleFor time after which endpoints close an idle connection
- * @param connectWithin connect timeout
- * @param agreedRate requests a second that the customers may send to this sidecar by contract; infinite if unknown
- * @param drainGrace how long a draining endpoint may be sent to
+ * @param idleTimeoutTicks time after which endpoints close an idle connection
+ * @param connectTimeoutTicks connect timeout
+ * @param contractedRatePerSecond requests a second that the customers may send to this sidecar by contract; infinite if
+ *     unknown
+ * @param drainGraceTicks how long a draining endpoint may be sent to
  */
 public record SidecarConfig(
         String name,
         SocketAddress listen,
         SocketAddress discovery,
         long seed,
-        int sockets,
-        long version,
-        JsonArray known,
-        PolicySettings terms,
+        int maxSockets,
+        long initialVersion,
+        JsonArray initialEntries,
+        PolicySettings policySettings,
         List<String> profiles,
         List<String> customers,
         List<String> zones,
         List<String> kinds,
-        long idleFor,
-        long connectWithin,
-        double agreedRate,
-        long drainGrace) {
+        long idleTimeoutTicks,
+        long connectTimeoutTicks,
+        double contractedRatePerSecond,
+        long drainGraceTicks) {
     private static final int TICKS_PER_MILLISECOND = 10;
 
     /** Returns the longest deadline of a profile in milliseconds, which bounds the life of any transaction. */
-    public long longestDeadline() {
-        return terms.profiles().stream()
+    public long longestDeadlineMillis() {
+        return policySettings.profiles().stream()
                         .mapToLong(PolicySettings.Profile::deadline)
                         .max()
                         .orElse(0)
@@ -56,8 +57,8 @@
     }
 
     /** Returns the longest latency objective of a profile, in milliseconds. */
-    public long longestGoal() {
-        return terms.profiles().stream()
+    public long longestLatencyObjectiveMillis() {
+        return policySettings.profiles().stream()
                         .mapToLong(PolicySettings.Profile::serviceGoal)
                         .max()
                         .orElse(0)
@@ -73,7 +74,7 @@
         if (!listen.equals(other.listen)) {
             keys.add("listen");
         }
-        if (sockets != other.sockets) {
+        if (maxSockets != other.maxSockets) {
             keys.add("limits");
         }
         return keys;
@@ -81,13 +82,13 @@
 
     /** Returns whether all that a reload may change is the same in another configuration, but for the addresses. */
     public boolean sameSettings(SidecarConfig other) {
-        return terms.equals(other.terms)
+        return policySettings.equals(other.policySettings)
                 && profiles.equals(other.profiles)
                 && customers.equals(other.customers)
                 && zones.equals(other.zones)
                 && kinds.equals(other.kinds)
-                && idleFor == other.idleFor
-                && connectWithin == other.connectWithin
-                && drainGrace == other.drainGrace;
+                && idleTimeoutTicks == other.idleTimeoutTicks
+                && connectTimeoutTicks == other.connectTimeoutTicks
+                && drainGraceTicks == other.drainGraceTicks;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
@@ -112,12 +112,12 @@
     void begin(SidecarConfig config, Runnable onEnded) {
         phase = Phase.DRAINING;
         connections.keepIdle();
-        long deadlineMillis = Math.min(MAX_DEADLINE_MILLIS, config.longestDeadline());
+        long deadlineMillis = Math.min(MAX_DEADLINE_MILLIS, config.longestDeadlineMillis());
         // Deadlines shorter than the wait for new clients: the last responses come after them, but before the kill.
         long respondMillis = Math.max(deadlineMillis, NEW_CLIENTS_MILLIS) + RESPONSE_MARGIN_MILLIS;
         lastResponseAt = clock.now() + respondMillis * TICKS_PER_MILLISECOND;
         executor.drainBy(lastResponseAt);
-        long closeMillis = respondMillis + RESPONSE_MARGIN_MILLIS - config.longestGoal() / 2;
+        long closeMillis = respondMillis + RESPONSE_MARGIN_MILLIS - config.longestLatencyObjectiveMillis() / 2;
         vertx.setTimer(NEW_CLIENTS_MILLIS, t -> newClientsAwaited());
         vertx.setTimer(Math.max(NEW_CLIENTS_MILLIS, closeMillis), t -> close());
         vertx.setTimer(deadlineMillis + KILL_AFTER_DEADLINE_MILLIS - LOG_FLUSH_MILLIS, t -> onEnded.run());
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
@@ -83,7 +83,7 @@
     /** New settings, for requests that are read from now on. */
     public void applyConfig(SidecarConfig applied) {
         config = applied;
-        connections.longestDeadline(TICKS_PER_MILLISECOND * applied.longestDeadline());
+        connections.longestDeadline(TICKS_PER_MILLISECOND * applied.longestDeadlineMillis());
         acceptor.applyConfig(applied);
     }
 
--- a/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
@@ -104,7 +104,7 @@
 
     private RequestMetadata metadata(
             HttpServerRequest request, ClientConnection connection, int profile, long timeoutTicks) {
-        Profile settings = config.terms().profiles().get(profile);
+        Profile settings = config.policySettings().profiles().get(profile);
         String customer = HeaderRules.decodeUtf8(request.getHeader(ProtocolFields.CUSTOMER));
         return new RequestMetadata(
                 profile,
--- a/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
@@ -68,7 +68,7 @@
         this.listener = listener;
         this.quarantineMillis = quarantineMillis;
         vertx = loop.vertx();
-        descriptors = DescriptorBudget.forAttempts(config.sockets());
+        descriptors = DescriptorBudget.forAttempts(config.maxSockets());
         reload(config);
         long minReuseTicks = 2L * AttemptSender.QUARANTINE_MILLIS * MonotonicClock.TICKS_PER_MILLI;
         reuseAgeBound = new ReuseAgeBound(minReuseTicks, maxIdleTicks);
@@ -78,9 +78,9 @@
 
     /** New settings: for connections from now on, and for how long those that are open may be idle. */
     void reload(SidecarConfig config) {
-        connectTimeoutMillis = Math.max(1, config.connectWithin() / MonotonicClock.TICKS_PER_MILLI);
+        connectTimeoutMillis = Math.max(1, config.connectTimeoutTicks() / MonotonicClock.TICKS_PER_MILLI);
         // A fifth of the endpoint's own time is left for what is under way and for a late event loop.
-        maxIdleTicks = config.idleFor() * 4 / 5;
+        maxIdleTicks = config.idleTimeoutTicks() * 4 / 5;
     }
 
     long connectTimeoutMillis() {
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -48,7 +48,7 @@
         currentConfig = config;
         this.counters = counters;
         log = counters.log;
-        clientDescriptors = DescriptorBudget.forClients(config.sockets());
+        clientDescriptors = DescriptorBudget.forClients(config.maxSockets());
         transport = new BoundedTransport(clientDescriptors, counters.turns, counters::acceptFailed);
     }
 
@@ -78,10 +78,10 @@
         long startTicks = clock.now();
         EventLoopLag lag = new EventLoopLag(vertx, clock, counters.loopLagTicks);
         loop = new EventLoopContext(vertx, context, clock, lag);
-        lease = new EndpointListLease(startTicks - PROCESS_START_TICKS, startConfig.drainGrace());
+        lease = new EndpointListLease(startTicks - PROCESS_START_TICKS, startConfig.drainGraceTicks());
         createParts();
         registerGauges();
-        policyExecutor.start(endpoints, attemptSender, discovery::watch, startConfig.known());
+        policyExecutor.start(endpoints, attemptSender, discovery::watch, startConfig.initialEntries());
         return discovery
                 .firstListReceived()
                 .compose(v -> inboundServer.listen())
@@ -91,7 +91,7 @@
     }
 
     private void createParts() {
-        policyExecutor = new PolicyExecutor(loop, counters, startConfig.terms(), startConfig.seed(), lease);
+        policyExecutor = new PolicyExecutor(loop, counters, startConfig.policySettings(), startConfig.seed(), lease);
         attemptSender = new AttemptSender(
                 loop, counters, policyExecutor::attemptEnded, startConfig, AttemptSender.QUARANTINE_MILLIS);
         endpoints =
@@ -99,12 +99,12 @@
         discovery = new DiscoveryClient(
                 new DiscoveryClient.Surroundings(loop.vertx(), loop.clock(), counters, loop.lag()),
                 startConfig.discovery(),
-                startConfig.version(),
+                startConfig.initialVersion(),
                 policyExecutor::applyEndpointList,
                 policyExecutor::endpointListWatchFailed,
                 lease,
                 startConfig.seed() + 1);
-        discovery.adopt(startConfig.terms());
+        discovery.adopt(startConfig.policySettings());
         inboundServer = new InboundHttpServer(
                 loop.vertx(),
                 loop.context(),
@@ -164,9 +164,9 @@
         currentConfig = config;
         attemptSender.reload(config);
         inboundServer.applyConfig(config);
-        discovery.adopt(config.terms());
-        lease.setDrainGrace(config.drainGrace());
-        policyExecutor.reload(config.terms(), startConfig.seed(), zoneName(config));
+        discovery.adopt(config.policySettings());
+        lease.setDrainGrace(config.drainGraceTicks());
+        policyExecutor.reload(config.policySettings(), startConfig.seed(), zoneName(config));
         int open = policyExecutor.openTransactions();
         log.add(() -> Logger.info("reload code=adopted open={}", open));
     }
@@ -174,7 +174,7 @@
     private static String zoneName(SidecarConfig config) {
         return config.zones().isEmpty()
                 ? null
-                : config.zones().get(config.terms().zone());
+                : config.zones().get(config.policySettings().zone());
     }
 
     /** SIGTERM: serves what was taken, then ends. The callback runs once everything is answered or time is up. */
--- a/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
@@ -62,11 +62,11 @@
         clock = loop.clock();
         this.config = config;
         Counters counters = new Counters(log);
-        policyExecutor =
-                new PolicyExecutor(loop, counters, config.terms(), config.seed(), EndpointListLease.permanent());
+        policyExecutor = new PolicyExecutor(
+                loop, counters, config.policySettings(), config.seed(), EndpointListLease.permanent());
         attemptSender = new AttemptSender(loop, counters, policyExecutor::attemptEnded, config, QUARANTINE_MILLIS);
         endpoints = new EndpointRegistry(config.zones(), config.kinds(), attemptSender::closeOutdated, counters);
-        fastRoundTicks = fastRoundTicks(config.agreedRate());
+        fastRoundTicks = fastRoundTicks(config.contractedRatePerSecond());
         startTicks = clock.now();
         roundStartTicks = startTicks;
     }
@@ -105,7 +105,7 @@
                         false,
                         0,
                         sent,
-                        now + config.terms().profiles().get(profile).deadline(),
+                        now + config.policySettings().profiles().get(profile).deadline(),
                         0),
                 this));
     }
--- a/sidecar/src/test/java/trestlegrade/config/SidecarConfigReaderTest.java
+++ b/sidecar/src/test/java/trestlegrade/config/SidecarConfigReaderTest.java
@@ -29,15 +29,16 @@
     void timesBecomeTicksAndTheRateIsTheSidecarsPart() {
         SidecarConfig config = read(FILE);
         assertEquals(255, config.seed());
-        assertEquals(7, config.version());
-        assertEquals(5_000, config.idleFor());
-        assertEquals(123, config.connectWithin());
-        assertEquals(2_500, config.drainGrace());
-        assertEquals(15, config.agreedRate());
-        assertEquals(1_000, config.longestDeadline());
-        assertEquals(500, config.longestGoal());
-        assertEquals(0.5, config.terms().customers().get(1).share());
-        assertEquals(Repeat.NON_IDEMPOTENT, config.terms().profiles().get(0).repeat());
+        assertEquals(7, config.initialVersion());
+        assertEquals(5_000, config.idleTimeoutTicks());
+        assertEquals(123, config.connectTimeoutTicks());
+        assertEquals(2_500, config.drainGraceTicks());
+        assertEquals(15, config.contractedRatePerSecond());
+        assertEquals(1_000, config.longestDeadlineMillis());
+        assertEquals(500, config.longestLatencyObjectiveMillis());
+        assertEquals(0.5, config.policySettings().customers().get(1).share());
+        assertEquals(
+                Repeat.NON_IDEMPOTENT, config.policySettings().profiles().get(0).repeat());
     }
 
     @ParameterizedTest
