--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
@@ -12,7 +12,7 @@
 import trestlegrade.metrics.Counters;
 import trestlegrade.policy.lease.EndpointListLease;
 import trestlegrade.policy.settings.PolicySettings;
-import trestlegrade.runtime.EventLoopLag;
+import trestlegrade.runtime.EventLoopContext;
 import trestlegrade.runtime.MonotonicClock;
 
 /**
@@ -24,12 +24,11 @@
  * when {@link #watch} is called again; where the list is pushed, the watch is reopened here.
  */
 public final class DiscoveryClient implements EndpointListSource {
-    private static final int TICKS_PER_MILLISECOND = 10;
     private static final long SILENCE_CHECK_INTERVAL_MILLIS = 100;
     /** An agent answers in a few milliseconds, and nothing is served meanwhile. */
     private static final long AGENT_ANSWER_TIMEOUT_MILLIS = 2_000;
 
-    private final Surroundings surroundings;
+    private final EventLoopContext loop;
     private final MonotonicClock clock;
     private final Counters counters;
     private final EndpointListListener listener;
@@ -47,12 +46,10 @@
     /** Takes the place of the current watch, which is suspected, once it has been heard itself. */
     private DiscoveryWatch replacement;
 
-    /** The event loop that a client runs on, its clock and its counters. */
-    public record Surroundings(Vertx vertx, MonotonicClock clock, Counters counters, EventLoopLag lag) {}
-
     /**
      * Creates a client that opens no watch yet.
      *
+     * @param loop that all calls of this client come on
      * @param version of the list that is known already; only later changes are asked for
      * @param listener takes over the entries received
      * @param onFailure is run when the last watch has ended and {@link #watch} is to be called again after a backoff
@@ -60,16 +57,17 @@
      * @param seed of the jitter
      */
     public DiscoveryClient(
-            Surroundings surroundings,
+            EventLoopContext loop,
+            Counters counters,
             SocketAddress address,
             long version,
             EndpointListListener listener,
             Runnable onFailure,
             EndpointListLease lease,
             long seed) {
-        this.surroundings = surroundings;
-        clock = surroundings.clock();
-        counters = surroundings.counters();
+        this.loop = loop;
+        this.counters = counters;
+        clock = loop.clock();
         this.address = address;
         this.version = version;
         this.listener = listener;
@@ -77,11 +75,10 @@
         this.lease = lease;
         schedule = new WatchSchedule(clock, seed);
         confirmedAt = clock.now();
-        Vertx vertx = surroundings.vertx();
+        Vertx vertx = loop.vertx();
         client = vertx.createHttpClient(new HttpClientOptions().setPipelining(false));
         // After a stall of the event loop, what has arrived meanwhile is read before a watch counts as silent.
-        vertx.setPeriodic(
-                SILENCE_CHECK_INTERVAL_MILLIS, timer -> surroundings.lag().caughtUp(this::check));
+        vertx.setPeriodic(SILENCE_CHECK_INTERVAL_MILLIS, timer -> loop.lag().caughtUp(this::check));
     }
 
     @Override
@@ -93,7 +90,7 @@
         current = watch;
         long delayMillis = schedule.delayMillis();
         if (delayMillis > 0) {
-            surroundings.vertx().setTimer(delayMillis, timer -> open(watch));
+            loop.vertx().setTimer(delayMillis, timer -> open(watch));
         } else {
             open(watch);
         }
@@ -134,7 +131,7 @@
         if (!schedule.pushed()) {
             return Future.succeededFuture();
         }
-        surroundings.vertx().setTimer(AGENT_ANSWER_TIMEOUT_MILLIS, timer -> firstMessage.tryComplete());
+        loop.vertx().setTimer(AGENT_ANSWER_TIMEOUT_MILLIS, timer -> firstMessage.tryComplete());
         return firstMessage.future();
     }
 
@@ -145,7 +142,7 @@
 
     @Override
     public long ageMillis() {
-        return (clock.now() - confirmedAt) / TICKS_PER_MILLISECOND;
+        return (clock.now() - confirmedAt) / MonotonicClock.TICKS_PER_MILLI;
     }
 
     private DiscoveryWatch newWatch() {
@@ -239,7 +236,7 @@
         @Override
         public void confirmed() {
             // What is read after a stall of the event loop may have been written before it.
-            confirmedAt = clock.now() - Math.max(0, surroundings.lag().unread());
+            confirmedAt = clock.now() - Math.max(0, loop.lag().unread());
             lease.renew(confirmedAt);
         }
 
--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
@@ -21,7 +21,6 @@
 final class DiscoveryWatch {
     private static final String WATCH_PATH = "/catalog/members?stream=1&index=";
     private static final int STATUS_OK = 200;
-    private static final int TICKS_PER_MILLISECOND = 10;
 
     private final MonotonicClock clock;
     private final Counters counters;
@@ -111,7 +110,7 @@
     }
 
     long quietMillis(long now) {
-        return liveness.quietTicks(now) / TICKS_PER_MILLISECOND;
+        return liveness.quietTicks(now) / MonotonicClock.TICKS_PER_MILLI;
     }
 
     /** Closes the watch and notifies its owner; does nothing if it has ended. */
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointEntry.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointEntry.java
@@ -5,6 +5,7 @@
 import java.util.Optional;
 import trestlegrade.config.HostPort;
 import trestlegrade.policy.endpoint.EndpointUpdate;
+import trestlegrade.runtime.MonotonicClock;
 
 /**
  * One entry of the endpoint list: the only place that knows the names of fields and states on the wire.
@@ -31,7 +32,6 @@
 final class EndpointEntry {
     private static final String STATUS_READY = "active";
     private static final String STATUS_GONE = "left";
-    private static final int TICKS_PER_MILLISECOND = 10;
 
     private final JsonObject json;
 
@@ -60,7 +60,7 @@
     }
 
     long launchedTicks() {
-        return json.getLong("since_ms", 0L) * TICKS_PER_MILLISECOND;
+        return json.getLong("since_ms", 0L) * MonotonicClock.TICKS_PER_MILLI;
     }
 
     SocketAddress address() {
--- a/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
@@ -12,7 +12,6 @@
  * since what the agent learns counts as notified whether a watch is open or not.
  */
 final class WatchSchedule {
-    private static final int TICKS_PER_MILLISECOND = 10;
     /**
      * Least time between two watches that deliver something and end at once: they do not count as failures, so that no
      * backoff slows them down.
@@ -62,7 +61,7 @@
 
     /** Returns the delay before the next watch; 0 or less if it may be opened now. */
     long delayMillis() {
-        return (openNotBefore - clock.now()) / TICKS_PER_MILLISECOND;
+        return (openNotBefore - clock.now()) / MonotonicClock.TICKS_PER_MILLI;
     }
 
     boolean mayReplace(long now) {
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -97,7 +97,8 @@
         endpoints =
                 new EndpointRegistry(startConfig.zones(), startConfig.kinds(), attemptSender::closeOutdated, counters);
         discovery = new DiscoveryClient(
-                new DiscoveryClient.Surroundings(loop.vertx(), loop.clock(), counters, loop.lag()),
+                loop,
+                counters,
                 startConfig.discovery(),
                 startConfig.initialVersion(),
                 policyExecutor::applyEndpointList,
