--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
@@ -9,11 +9,11 @@
 import java.util.Objects;
 import java.util.stream.Stream;
 import org.tinylog.Logger;
+import trestlegrade.eventloop.EventLoopContext;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.metrics.Counters;
 import trestlegrade.policy.lease.EndpointListLease;
 import trestlegrade.policy.settings.PolicySettings;
-import trestlegrade.runtime.EventLoopContext;
-import trestlegrade.runtime.MonotonicClock;
 
 /**
  * Watches discovery for changes of the endpoint list over HTTP, and renews the lease of the list. Belongs to the event
--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
@@ -11,8 +11,8 @@
 import io.vertx.core.net.SocketAddress;
 import java.net.ConnectException;
 import org.tinylog.Logger;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.metrics.Counters;
-import trestlegrade.runtime.MonotonicClock;
 
 /**
  * One watch on discovery: one connection with one streamed response, from its opening to its end. It is not reopened;
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointEntry.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointEntry.java
@@ -4,8 +4,8 @@
 import io.vertx.core.net.SocketAddress;
 import java.util.Optional;
 import trestlegrade.config.HostPort;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.policy.endpoint.EndpointUpdate;
-import trestlegrade.runtime.MonotonicClock;
 
 /**
  * One entry of the endpoint list: the only place that knows the names of fields and states on the wire.
--- a/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
@@ -1,8 +1,8 @@
 package trestlegrade.discovery;
 
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.policy.retry.DiscoveryBackoff;
 import trestlegrade.policy.settings.PolicySettings;
-import trestlegrade.runtime.MonotonicClock;
 
 /**
  * When the next watch may be opened. Times are ticks (tenths of a millisecond) unless the name says otherwise.
--- a/sidecar/src/main/java/trestlegrade/runtime/EventLoopContext.java
+++ b/sidecar/src/main/java/trestlegrade/eventloop/EventLoopContext.java
@@ -1,4 +1,4 @@
-package trestlegrade.runtime;
+package trestlegrade.eventloop;
 
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
--- a/sidecar/src/main/java/trestlegrade/runtime/MonotonicClock.java
+++ b/sidecar/src/main/java/trestlegrade/eventloop/MonotonicClock.java
@@ -1,4 +1,4 @@
-package trestlegrade.runtime;
+package trestlegrade.eventloop;
 
 /**
  * A clock that never steps: the Unix time at its creation, counted on by the monotonic timer.
--- a/sidecar/src/main/java/trestlegrade/runtime/TimerRoundingIoHandler.java
+++ b/sidecar/src/main/java/trestlegrade/eventloop/TimerRoundingIoHandler.java
@@ -1,4 +1,4 @@
-package trestlegrade.runtime;
+package trestlegrade.eventloop;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
--- a/sidecar/src/main/java/trestlegrade/inbound/BoundedListener.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BoundedListener.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import trestlegrade.runtime.MonotonicClock;
+import trestlegrade.eventloop.MonotonicClock;
 
 /**
  * A listener that accepts no connection while there is no descriptor for one: the client waits in the kernel's backlog
--- a/sidecar/src/main/java/trestlegrade/inbound/BoundedTransport.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BoundedTransport.java
@@ -9,9 +9,9 @@
 import io.vertx.core.transport.Transport;
 import java.io.IOException;
 import java.util.function.Consumer;
+import trestlegrade.eventloop.MonotonicClock;
+import trestlegrade.eventloop.TimerRoundingIoHandler;
 import trestlegrade.metrics.Counters;
-import trestlegrade.runtime.MonotonicClock;
-import trestlegrade.runtime.TimerRoundingIoHandler;
 
 /**
  * Vert.x's NIO transport, but its loops sleep between timers ({@link TimerRoundingIoHandler}), its listener accepts
--- a/sidecar/src/main/java/trestlegrade/inbound/ClientConnection.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ClientConnection.java
@@ -9,7 +9,7 @@
 /**
  * The state of one connection of a client. One request at a time is read or is open on it; what the client pipelines
  * waits in {@link PipeliningGate}. All methods are called on the event loop; times are ticks of
- * {@link trestlegrade.runtime.MonotonicClock}.
+ * {@link trestlegrade.eventloop.MonotonicClock}.
  */
 final class ClientConnection {
     private final HttpConnection http;
--- a/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
@@ -9,9 +9,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
+import trestlegrade.eventloop.EventLoopLag;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.metrics.Counters;
-import trestlegrade.runtime.EventLoopLag;
-import trestlegrade.runtime.MonotonicClock;
 
 /**
  * The open connections of clients, and how many there may be. {@link IdleConnectionSweeper} ends idle ones and
--- a/sidecar/src/main/java/trestlegrade/inbound/ConnectionEvictor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ConnectionEvictor.java
@@ -2,8 +2,8 @@
 
 import io.vertx.core.Vertx;
 import java.util.Collection;
-import trestlegrade.runtime.EventLoopLag;
-import trestlegrade.runtime.MonotonicClock;
+import trestlegrade.eventloop.EventLoopLag;
+import trestlegrade.eventloop.MonotonicClock;
 
 /**
  * Closes connections that are idle so that others get their descriptors. While all descriptors are in use, clients wait
--- a/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
@@ -3,8 +3,8 @@
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import trestlegrade.config.SidecarConfig;
-import trestlegrade.runtime.EventLoopLag;
-import trestlegrade.runtime.MonotonicClock;
+import trestlegrade.eventloop.EventLoopLag;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.runtime.PolicyExecutor;
 
 /**
--- a/sidecar/src/main/java/trestlegrade/inbound/IdleConnectionSweeper.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/IdleConnectionSweeper.java
@@ -4,9 +4,9 @@
 import io.vertx.core.buffer.Buffer;
 import java.util.ArrayList;
 import java.util.Collection;
+import trestlegrade.eventloop.EventLoopLag;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.metrics.Counters;
-import trestlegrade.runtime.EventLoopLag;
-import trestlegrade.runtime.MonotonicClock;
 
 /**
  * Ends connections that bring nothing: idle ones, requests that stop or take too long, and responses that are not read.
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
@@ -11,9 +11,9 @@
 import io.vertx.core.http.HttpServerResponse;
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.discovery.EndpointRegistry;
+import trestlegrade.eventloop.EventLoopLag;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.metrics.Counters;
-import trestlegrade.runtime.EventLoopLag;
-import trestlegrade.runtime.MonotonicClock;
 import trestlegrade.runtime.PolicyExecutor;
 import trestlegrade.runtime.WarmUp;
 
--- a/sidecar/src/main/java/trestlegrade/inbound/LingeringClose.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/LingeringClose.java
@@ -8,8 +8,8 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.concurrent.TimeUnit;
-import trestlegrade.runtime.EventLoopLag;
-import trestlegrade.runtime.MonotonicClock;
+import trestlegrade.eventloop.EventLoopLag;
+import trestlegrade.eventloop.MonotonicClock;
 
 /**
  * Closes a connection behind a response without a reset. To close a socket with unread bytes resets it, and the client
--- a/sidecar/src/main/java/trestlegrade/inbound/ListenerBinder.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ListenerBinder.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import org.tinylog.Logger;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.metrics.AsyncLog;
-import trestlegrade.runtime.MonotonicClock;
 
 /**
  * Binds the listener. Where the system has no socket for it (EMFILE, ENFILE, ENOBUFS, ENOMEM), which passes, it retries
--- a/sidecar/src/main/java/trestlegrade/inbound/PipeliningGate.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/PipeliningGate.java
@@ -12,7 +12,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Map;
-import trestlegrade.runtime.MonotonicClock;
+import trestlegrade.eventloop.MonotonicClock;
 
 /**
  * Lets one request at a time through to the server, the next one behind the response to the one before. What a client
--- a/sidecar/src/main/java/trestlegrade/inbound/RequestDeadline.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/RequestDeadline.java
@@ -1,7 +1,7 @@
 package trestlegrade.inbound;
 
-import trestlegrade.runtime.EventLoopLag;
-import trestlegrade.runtime.MonotonicClock;
+import trestlegrade.eventloop.EventLoopLag;
+import trestlegrade.eventloop.MonotonicClock;
 
 /**
  * Until when a request is worked on. Its client's wait began with its last byte, which may have waited to be read: in
--- a/sidecar/src/main/java/trestlegrade/inbound/RequestReader.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/RequestReader.java
@@ -7,7 +7,7 @@
 import io.vertx.core.http.HttpClosedException;
 import io.vertx.core.http.HttpServerRequest;
 import java.io.IOException;
-import trestlegrade.runtime.MonotonicClock;
+import trestlegrade.eventloop.MonotonicClock;
 
 /** Reads the body of a request within the bounds of its length and of memory, and rejects what is not readable. */
 final class RequestReader {
--- a/sidecar/src/main/java/trestlegrade/inbound/ResponseWriter.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ResponseWriter.java
@@ -3,8 +3,8 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpServerResponse;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.metrics.Counters;
-import trestlegrade.runtime.MonotonicClock;
 
 /** Writes responses to clients, and rejections, which end the connection: what follows on it is not reliable. */
 final class ResponseWriter {
--- a/sidecar/src/main/java/trestlegrade/inbound/StrictRequestDecoder.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/StrictRequestDecoder.java
@@ -11,8 +11,8 @@
 import io.vertx.core.http.impl.HttpServerConnection;
 import io.vertx.core.http.impl.VertxHttpRequestDecoder;
 import java.util.List;
-import trestlegrade.runtime.EventLoopLag;
-import trestlegrade.runtime.MonotonicClock;
+import trestlegrade.eventloop.EventLoopLag;
+import trestlegrade.eventloop.MonotonicClock;
 
 /**
  * Vert.x's decoder of requests, which also rejects a request with both a Content-Length and a Transfer-Encoding, and
--- a/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import trestlegrade.config.SidecarConfig;
+import trestlegrade.eventloop.EventLoopLag;
 import trestlegrade.metrics.Counters;
 import trestlegrade.policy.settings.PolicySettings.Profile;
 import trestlegrade.policy.settings.PolicySettings.Repeat;
-import trestlegrade.runtime.EventLoopLag;
 import trestlegrade.runtime.PolicyExecutor;
 
 /** Makes a transaction of a request that has been read, or rejects it, and hands the transaction to the policy. */
--- a/sidecar/src/main/java/trestlegrade/metrics/Counters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/Counters.java
@@ -10,8 +10,8 @@
 import java.util.function.LongSupplier;
 import org.HdrHistogram.Histogram;
 import org.tinylog.Logger;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.policy.request.AttemptOutcome;
-import trestlegrade.runtime.MonotonicClock;
 
 /**
  * What this sidecar took in, sent and answered since its start.
--- a/sidecar/src/main/java/trestlegrade/metrics/RejectionCounters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/RejectionCounters.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import org.tinylog.Logger;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.inbound.InboundRequest;
 import trestlegrade.inbound.ProtocolFields;
 import trestlegrade.policy.request.RejectionReason;
-import trestlegrade.runtime.MonotonicClock;
 
 /** Counts the transactions that end without a commit by their reason, and logs a sample of each reason. */
 public final class RejectionCounters {
--- a/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
@@ -4,11 +4,11 @@
 import io.vertx.core.Vertx;
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.discovery.EndpointRegistry.Endpoint;
+import trestlegrade.eventloop.EventLoopContext;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.inbound.BodyMemoryBudget;
 import trestlegrade.metrics.Counters;
 import trestlegrade.policy.request.AttemptOutcome;
-import trestlegrade.runtime.EventLoopContext;
-import trestlegrade.runtime.MonotonicClock;
 
 /**
  * Sends attempts to endpoints, one at a time on a connection, and reports the outcome of each. It uses no HTTP client
--- a/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
@@ -13,10 +13,10 @@
 import java.util.Iterator;
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.discovery.EndpointRegistry.Endpoint;
+import trestlegrade.eventloop.EventLoopContext;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.inbound.DescriptorBudget;
 import trestlegrade.metrics.Counters;
-import trestlegrade.runtime.EventLoopContext;
-import trestlegrade.runtime.MonotonicClock;
 
 /**
  * Connections to endpoints: opens them, keeps the idle ones of each endpoint, and closes them when they are too old or
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
@@ -4,6 +4,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
+import trestlegrade.eventloop.EventLoopContext;
 
 /**
  * The events that wait for a decision. Any thread may submit them; they run one after the other on the event loop, and
@@ -25,12 +26,12 @@
     }
 
     /** The time of the turn under way, in ticks; it never goes back. Event loop only. */
-    long now() {
+    public long now() {
         return now;
     }
 
     /** Appends an event; called from any thread. */
-    void submit(Runnable event) {
+    public void submit(Runnable event) {
         submitTo(events, event);
     }
 
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -5,6 +5,8 @@
 import java.util.List;
 import org.tinylog.Logger;
 import trestlegrade.discovery.EndpointRegistry;
+import trestlegrade.eventloop.EventLoopContext;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.inbound.HeaderRules;
 import trestlegrade.inbound.InboundRequest;
 import trestlegrade.metrics.Counters;
@@ -200,7 +202,7 @@
     }
 
     /** Transactions that the decisions still hold, under all settings in use. */
-    int heldTransactions() {
+    public int heldTransactions() {
         return generations.heldTransactions();
     }
 
@@ -228,21 +230,21 @@
         attemptSender.cancel(openRequests.get(transactionId).attempts.get(attemptNumber));
     }
 
-    void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason) {
+    public void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason) {
         InboundRequest request = openRequests.get(transactionId);
         counters.rejections.rolledBack(events.now(), request, reason);
         request.rollBack(retryAfterTicks, counters);
         forgetIfOver(request);
     }
 
-    void abandon(long transactionId, RejectionReason reason) {
+    public void abandon(long transactionId, RejectionReason reason) {
         InboundRequest request = openRequests.get(transactionId);
         counters.rejections.abandoned(events.now(), request, reason);
         request.abandon(counters);
         forgetIfOver(request);
     }
 
-    void scheduleTick(LoadBalancer loadBalancer, long delayTicks) {
+    public void scheduleTick(LoadBalancer loadBalancer, long delayTicks) {
         long delayMillis = Math.max(1, delayTicks / MonotonicClock.TICKS_PER_MILLI);
         loop.vertx().setTimer(delayMillis, t -> events.submit(() -> loadBalancer.onTick(events.now())));
     }
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyGenerations.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyGenerations.java
@@ -14,17 +14,17 @@
         current = first;
     }
 
-    PolicyGeneration current() {
+    public PolicyGeneration current() {
         return current;
     }
 
     /** Number of sets of settings in use. */
-    int count() {
+    public int count() {
         return 1 + retiring.size();
     }
 
     /** Transactions that the decisions hold, under all settings in use. */
-    int heldTransactions() {
+    public int heldTransactions() {
         return current.loadBalancer().heldTransactions()
                 + retiring.stream()
                         .mapToInt(each -> each.loadBalancer().heldTransactions())
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -10,6 +10,9 @@
 import trestlegrade.discovery.DiscoveryClient;
 import trestlegrade.discovery.EndpointListSource;
 import trestlegrade.discovery.EndpointRegistry;
+import trestlegrade.eventloop.EventLoopContext;
+import trestlegrade.eventloop.EventLoopLag;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.inbound.BoundedTransport;
 import trestlegrade.inbound.DescriptorBudget;
 import trestlegrade.inbound.InboundHttpServer;
@@ -23,7 +26,7 @@
  * One sidecar: makes its parts and connects them, hands reloaded settings to each, and drains. All methods but
  * {@link #createVertx} are called on the sidecar's event loop.
  */
-final class Sidecar {
+public final class Sidecar {
     /** From the start of the process until {@link #start}, as long as it may take on a part of a core. */
     private static final long PROCESS_START_TICKS = 1_000 * MonotonicClock.TICKS_PER_MILLI;
 
@@ -43,7 +46,7 @@
     private InboundHttpServer inboundServer;
     private EndpointListSource discovery;
 
-    Sidecar(SidecarConfig config, Counters counters) {
+    public Sidecar(SidecarConfig config, Counters counters) {
         startConfig = config;
         currentConfig = config;
         this.counters = counters;
@@ -73,7 +76,7 @@
      *
      * @return the number of warm-up transactions once the sidecar calls itself healthy; failed if it can't listen
      */
-    Future<Integer> start(Vertx vertx, Context context) {
+    public Future<Integer> start(Vertx vertx, Context context) {
         MonotonicClock clock = new MonotonicClock();
         long startTicks = clock.now();
         EventLoopLag lag = new EventLoopLag(vertx, clock, counters.loopLagTicks);
@@ -154,7 +157,7 @@
      * SIGHUP: uses another configuration's address of discovery, and its settings for all transactions that arrive from
      * now on; what happens to the open ones stands at {@link PolicyGeneration}. Does nothing before the start.
      */
-    void reload(SidecarConfig config) {
+    public void reload(SidecarConfig config) {
         if (discovery == null) {
             return;
         }
@@ -179,7 +182,7 @@
     }
 
     /** SIGTERM: serves what was taken, then ends. The callback runs once everything is answered or time is up. */
-    void drain(Runnable drained) {
+    public void drain(Runnable drained) {
         int open = policyExecutor.openTransactions();
         log.add(() -> Logger.info("serve code=leaving open={}", open));
         inboundServer.shutDown(drained);
--- a/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
@@ -9,6 +9,8 @@
 import io.vertx.core.json.JsonObject;
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.discovery.EndpointRegistry;
+import trestlegrade.eventloop.EventLoopContext;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.inbound.InboundRequest;
 import trestlegrade.inbound.RequestHead;
 import trestlegrade.inbound.RequestMetadata;
--- a/sidecar/src/test/java/trestlegrade/runtime/EventLoopLagTest.java
+++ b/sidecar/src/test/java/trestlegrade/eventloop/EventLoopLagTest.java
@@ -1,4 +1,4 @@
-package trestlegrade.runtime;
+package trestlegrade.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/sidecar/src/test/java/trestlegrade/inbound/BoundedTransportTest.java
+++ b/sidecar/src/test/java/trestlegrade/inbound/BoundedTransportTest.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.integration.Await;
 import trestlegrade.metrics.Counters;
-import trestlegrade.runtime.MonotonicClock;
 
 /** The listener on a loop of the test's own, so that what meets there comes in the order that the test gives. */
 @Timeout(20)
--- a/sidecar/src/test/java/trestlegrade/runtime/PolicyEventQueueTest.java
+++ b/sidecar/src/test/java/trestlegrade/runtime/PolicyEventQueueTest.java
@@ -10,6 +10,9 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
+import trestlegrade.eventloop.EventLoopContext;
+import trestlegrade.eventloop.EventLoopLag;
+import trestlegrade.eventloop.MonotonicClock;
 
 /**
  * After a stall requests and an endpoint list wait together. A request that were decided on first would be sent to an
