--- a/sidecar/src/main/java/trestlegrade/config/PolicySettingsReader.java
+++ b/sidecar/src/main/java/trestlegrade/config/PolicySettingsReader.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import trestlegrade.policy.settings.PolicySettings;
 import trestlegrade.policy.settings.PolicySettings.Customer;
-import trestlegrade.policy.settings.PolicySettings.Group;
+import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
+import trestlegrade.policy.settings.PolicySettings.Idempotency;
 import trestlegrade.policy.settings.PolicySettings.Profile;
-import trestlegrade.policy.settings.PolicySettings.Repeat;
 import trestlegrade.policy.settings.PolicySettings.Weights;
 
 /** Reads the settings of the decisions; {@link SettingNames} tells which setting becomes what. */
@@ -70,36 +70,36 @@
     }
 
     private Profile profile(int index) {
-        Repeat idempotency = idempotency(path(index, SettingNames.PROFILE_IDEMPOTENCY));
-        boolean journalled = idempotency == Repeat.JOURNALLED;
-        Group scope = deduplicationScope(path(index, SettingNames.PROFILE_DEDUPLICATION_SCOPE), journalled);
+        Idempotency idempotency = idempotency(path(index, SettingNames.PROFILE_IDEMPOTENCY));
+        boolean keyed = idempotency == Idempotency.IDEMPOTENT_BY_KEY;
+        DeduplicationScope scope = deduplicationScope(path(index, SettingNames.PROFILE_DEDUPLICATION_SCOPE), keyed);
         return new Profile(
                 values.ticks(path(index, SettingNames.PROFILE_LATENCY_OBJECTIVE), null),
                 values.ticks(path(index, SettingNames.PROFILE_DEADLINE), null),
                 values.number(path(index, SettingNames.PROFILE_REVENUE), 1.0),
                 idempotency,
                 scope,
-                values.ticks(path(index, SettingNames.PROFILE_DEDUPLICATION_WINDOW), journalled ? null : 0.0));
+                values.ticks(path(index, SettingNames.PROFILE_DEDUPLICATION_WINDOW), keyed ? null : 0.0));
     }
 
     private static String path(int profile, String field) {
         return SettingNames.element(SettingNames.PROFILES, profile, field);
     }
 
-    private Repeat idempotency(String path) {
+    private Idempotency idempotency(String path) {
         return switch (values.text(path, null)) {
-            case "repeatable" -> Repeat.IDEMPOTENT;
-            case "by_key" -> Repeat.JOURNALLED;
-            case "once" -> Repeat.NON_IDEMPOTENT;
+            case "repeatable" -> Idempotency.IDEMPOTENT;
+            case "by_key" -> Idempotency.IDEMPOTENT_BY_KEY;
+            case "once" -> Idempotency.NON_IDEMPOTENT;
             default -> throw ConfigException.ofSetting(path, "unknown value");
         };
     }
 
-    private Group deduplicationScope(String path, boolean required) {
+    private DeduplicationScope deduplicationScope(String path, boolean required) {
         return switch (values.text(path, required ? null : "all")) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw ConfigException.ofSetting(path, "unknown value");
         };
     }
--- a/sidecar/src/main/java/trestlegrade/config/SettingNames.java
+++ b/sidecar/src/main/java/trestlegrade/config/SettingNames.java
@@ -7,41 +7,45 @@
  * <table>
  * <caption>Settings and what they become in {@link trestlegrade.policy.settings.PolicySettings}</caption>
  * <tr><th>setting</th><th>default</th><th>becomes</th></tr>
- * <tr><td>{@code n_instances}</td><td>1</td><td>sidecars: size of the fleet</td></tr>
- * <tr><td>{@code my_number}</td><td>0</td><td>number: this sidecar's within the fleet</td></tr>
+ * <tr><td>{@code n_instances}</td><td>1</td><td>fleetSize: size of the fleet</td></tr>
+ * <tr><td>{@code my_number}</td><td>0</td><td>sidecarIndex: this sidecar's within the fleet</td></tr>
  * <tr><td>{@code azs}, {@code zone}</td><td>none, 0</td><td>zones; zone: the local zone's number</td></tr>
  * <tr><td>{@code flavors}</td><td>none</td><td>kinds of machine</td></tr>
  * <tr><td>{@code membership_mode}</td><td>{@code pushed}</td>
- *     <td>listOnRequest, if {@code on_request}: changes come by watch or poll alone</td></tr>
+ *     <td>listPolled, if {@code on_request}: changes come by watch or poll alone</td></tr>
  * <tr><td>{@code weights}</td><td>{@code off}</td>
  *     <td>weights: NONE ({@code off}), SIZE ({@code nominal}, {@code rough}), LIVE ({@code live})</td></tr>
  * <tr><td>{@code ceilings.max_hops}</td><td>1</td><td>maxAttempts</td></tr>
- * <tr><td>{@code ceilings.cancelling}</td><td>false</td><td>cancelling: attempts in flight may be cancelled</td></tr>
- * <tr><td>{@code ceilings.retry_after}</td><td>false</td><td>pauses: rejections carry a Retry-After</td></tr>
- * <tr><td>{@code ceilings.max_retry_after}</td><td>0</td><td>longestPause: longest Retry-After</td></tr>
+ * <tr><td>{@code ceilings.cancelling}</td><td>false</td>
+ *     <td>cancellationAllowed: attempts in flight may be cancelled</td></tr>
+ * <tr><td>{@code ceilings.retry_after}</td><td>false</td>
+ *     <td>retryAfterAllowed: rejections carry a Retry-After</td></tr>
+ * <tr><td>{@code ceilings.max_retry_after}</td><td>0</td><td>maxRetryAfterTicks: longest Retry-After</td></tr>
  * <tr><td>{@code ceilings.keepalive}</td><td>10000</td><td>idle timeout of connections to endpoints</td></tr>
  * <tr><td>{@code ceilings.dial_timeout}</td><td>250</td><td>connect timeout</td></tr>
- * <tr><td>{@code safety.ask_within}</td><td>10000</td><td>askWithin: longest time between polls</td></tr>
+ * <tr><td>{@code safety.ask_within}</td><td>10000</td><td>maxPollIntervalTicks: longest time between polls</td></tr>
  * <tr><td>{@code safety.drain_grace}</td><td>0</td><td>drain grace of the endpoint list lease</td></tr>
  * <tr><td>{@code safety.cold_from}, {@code safety.cold}</td><td>required</td>
- *     <td>coldFrom, coldFor: least initial capacity and length of slow start</td></tr>
+ *     <td>slowStartInitialFraction, slowStartTicks: least initial capacity and length of slow start</td></tr>
  * <tr><td>{@code safety.fall_multiple}, {@code safety.fall}</td><td>required</td>
- *     <td>fallMultiple, fallSpan: overload at which an endpoint in slow start crashes</td></tr>
- * <tr><td>{@code family_info.warm_keys}</td><td>false</td><td>warmKeys: endpoints cache recent keys</td></tr>
- * <tr><td>{@code fees.cross_zone}</td><td>0</td><td>crossFee: cost of cross-zone attempts</td></tr>
- * <tr><td>{@code fees.connection}</td><td>0</td><td>connectionFee: cost of open connections</td></tr>
- * <tr><td>{@code goal.worst_class}, {@code goal.whole}</td><td>0, 1</td><td>evenness: their quotient</td></tr>
+ *     <td>crashMultiple, crashTicks: overload at which an endpoint in slow start crashes</td></tr>
+ * <tr><td>{@code family_info.warm_keys}</td><td>false</td><td>keyAffinity: endpoints cache recent keys</td></tr>
+ * <tr><td>{@code fees.cross_zone}</td><td>0</td><td>crossZoneCost: cost of cross-zone attempts</td></tr>
+ * <tr><td>{@code fees.connection}</td><td>0</td><td>connectionCost: cost of open connections</td></tr>
+ * <tr><td>{@code goal.worst_class}, {@code goal.whole}</td><td>0, 1</td>
+ *     <td>worstProfileWeight: their quotient</td></tr>
  * <tr><td>{@code tenants[].share}</td><td>even parts</td><td>customers: share</td></tr>
  * <tr><td>{@code tenants[].allowance_per_s}</td><td>none</td><td>contracted rate, requests a second</td></tr>
- * <tr><td>{@code profiles[].service_goal}</td><td>required</td><td>serviceGoal: latency objective</td></tr>
+ * <tr><td>{@code profiles[].service_goal}</td><td>required</td><td>latencyObjectiveTicks: latency objective</td></tr>
  * <tr><td>{@code profiles[].hard_limit}</td><td>required</td><td>deadline</td></tr>
- * <tr><td>{@code profiles[].revenue}</td><td>1</td><td>revenue: worth of a request</td></tr>
- * <tr><td>{@code profiles[].effect}</td><td>required</td><td>repeat: IDEMPOTENT ({@code repeatable}), JOURNALLED
+ * <tr><td>{@code profiles[].revenue}</td><td>1</td><td>priorityWeight: worth of a request</td></tr>
+ * <tr><td>{@code profiles[].effect}</td><td>required</td>
+ *     <td>idempotency: IDEMPOTENT ({@code repeatable}), IDEMPOTENT_BY_KEY
  *     ({@code by_key}: idempotent by key), NON_IDEMPOTENT ({@code once})</td></tr>
  * <tr><td>{@code profiles[].group}</td><td>required if {@code by_key}</td>
- *     <td>group: deduplication scope, ALL, ZONE or CELL</td></tr>
+ *     <td>deduplicationScope, ALL, ZONE or CELL</td></tr>
  * <tr><td>{@code profiles[].dedup_window}</td><td>required if {@code by_key}</td>
- *     <td>window: how long idempotency keys are kept</td></tr>
+ *     <td>deduplicationWindowTicks: how long idempotency keys are kept</td></tr>
  * </table>
  *
  * <p>Keys that are not listed are ignored.
--- a/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
+++ b/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
@@ -59,7 +59,7 @@
     /** Returns the longest latency objective of a profile, in milliseconds. */
     public long longestLatencyObjectiveMillis() {
         return policySettings.profiles().stream()
-                        .mapToLong(PolicySettings.Profile::serviceGoal)
+                        .mapToLong(PolicySettings.Profile::latencyObjectiveTicks)
                         .max()
                         .orElse(0)
                 / TICKS_PER_MILLISECOND;
--- a/sidecar/src/main/java/trestlegrade/config/SidecarConfigReader.java
+++ b/sidecar/src/main/java/trestlegrade/config/SidecarConfigReader.java
@@ -94,7 +94,7 @@
                 texts(settings, SettingNames.MACHINE_KINDS),
                 values.ticks(SettingNames.IDLE_TIMEOUT, DEFAULT_IDLE_TIMEOUT_MILLIS),
                 values.ticks(SettingNames.CONNECT_TIMEOUT, DEFAULT_CONNECT_TIMEOUT_MILLIS),
-                contractedRatePerSecond(settings) / policy.sidecars(),
+                contractedRatePerSecond(settings) / policy.fleetSize(),
                 values.ticks(SettingNames.DRAIN_GRACE, 0.0));
     }
 
@@ -112,7 +112,7 @@
                     "settings." + SettingNames.LOCAL_ZONE,
                     "is not among the " + zones.size() + " of settings." + SettingNames.ZONES);
         }
-        if (policy.number() >= policy.sidecars()) {
+        if (policy.sidecarIndex() >= policy.fleetSize()) {
             throw new ConfigException(
                     "settings." + SettingNames.SIDECAR_NUMBER, "must be under settings." + SettingNames.FLEET_SIZE);
         }
--- a/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
@@ -41,13 +41,13 @@
 
     /** Adopts settings; the first time, it delays the first watch, since a whole fleet may start at once. */
     void adopt(PolicySettings settings) {
-        pushed = !settings.listOnRequest();
+        pushed = !settings.listPolled();
         boolean first = backoff == null;
         backoff = new DiscoveryBackoff(settings, seed);
         if (first && !pushed) {
             openNotBefore = clock.now() + backoff.beforeFirstCall();
         }
-        minIntervalTicks = Math.min(MIN_INTERVAL_TICKS, settings.askWithin() / 4);
+        minIntervalTicks = Math.min(MIN_INTERVAL_TICKS, settings.maxPollIntervalTicks() / 4);
     }
 
     /** Returns whether an agent beside this sidecar pushes the list. */
--- a/sidecar/src/main/java/trestlegrade/inbound/ConnectionEndReason.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ConnectionEndReason.java
@@ -33,7 +33,7 @@
     /** The client did not read its response. */
     RESPONSE_NOT_READ("unread"),
     /** The program shuts down. */
-    SHUTTING_DOWN("leaving");
+    SHUTTING_DOWN("draining");
 
     private final String code;
 
--- a/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
@@ -9,8 +9,8 @@
 import trestlegrade.config.SidecarConfig;
 import trestlegrade.eventloop.EventLoopLag;
 import trestlegrade.metrics.Counters;
+import trestlegrade.policy.settings.PolicySettings.Idempotency;
 import trestlegrade.policy.settings.PolicySettings.Profile;
-import trestlegrade.policy.settings.PolicySettings.Repeat;
 import trestlegrade.runtime.PolicyExecutor;
 
 /** Makes a transaction of a request that has been read, or rejects it, and hands the transaction to the policy. */
@@ -108,7 +108,7 @@
         String customer = HeaderRules.decodeUtf8(request.getHeader(ProtocolFields.CUSTOMER));
         return new RequestMetadata(
                 profile,
-                settings.repeat() == Repeat.IDEMPOTENT,
+                settings.idempotency() == Idempotency.IDEMPOTENT,
                 customers.getOrDefault(customer, NO_CUSTOMER),
                 HeaderRules.affinityKey(request.uri()),
                 deadline.of(connection, Math.min(timeoutTicks, settings.deadline())),
--- a/sidecar/src/main/java/trestlegrade/metrics/Counters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/Counters.java
@@ -168,7 +168,7 @@
         JsonObject codes = new JsonObject();
         connectionsEnded.forEach(codes::put);
         return new JsonObject()
-                .put("taken", taken)
+                .put("accepted", taken)
                 .put("committed", committed)
                 .put("rolled_back", rolledBack)
                 .put("abandoned", abandoned)
@@ -187,7 +187,7 @@
                 .put("accepts_failed", acceptsFailed.sum())
                 .put("loop_turns", turns.all())
                 .put("loop_turns_idle", turns.idle.sum())
-                .put("refused", rejections.report())
+                .put("rejections", rejections.report())
                 .put("now", gauges())
                 .put("log_lines_dropped", log.dropped())
                 .put("attempt_ms", milliseconds(attemptDurationTicks))
--- a/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
+++ b/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
@@ -72,7 +72,7 @@
     /** Begins; to be called once, before all else. */
     public void start(long now) {
         monitor.start(now);
-        if (settings.listOnRequest()) {
+        if (settings.listPolled()) {
             actions.subscribe();
         }
     }
@@ -214,7 +214,7 @@
             return;
         }
         if (!transaction.hasAttempts() && monitor.loadShedder().sheds(now, transaction)) {
-            closer.reject(transaction, RejectionReason.OVERLOAD, settings.longestPause());
+            closer.reject(transaction, RejectionReason.OVERLOAD, settings.maxRetryAfterTicks());
             return;
         }
         Attempt attempt = placer.place(now, transaction);
@@ -242,7 +242,7 @@
         } else if (deadlinePolicy.mayWaitForEndpoint(now, transaction)) {
             transactions.addWaiting(transaction);
         } else {
-            closer.reject(transaction, RejectionReason.NO_SERVER);
+            closer.reject(transaction, RejectionReason.NO_ENDPOINT);
         }
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/TransactionCloser.java
+++ b/sidecar/src/main/java/trestlegrade/policy/TransactionCloser.java
@@ -35,7 +35,8 @@
     /** Rejects a transaction and asks the client to wait before it tries again, as far as the settings allow. */
     void reject(Transaction transaction, RejectionReason reason, long retryAfterTicks) {
         if (retryPolicy.mayRollBack(transaction)) {
-            long retryAfter = settings.pauses() ? Math.min(retryAfterTicks, settings.longestPause()) : 0;
+            long retryAfter =
+                    settings.retryAfterAllowed() ? Math.min(retryAfterTicks, settings.maxRetryAfterTicks()) : 0;
             actions.rollBack(transaction.id(), retryAfter, reason);
         } else {
             actions.abandon(transaction.id(), reason);
@@ -49,7 +50,7 @@
             return;
         }
         transaction.markAnswered();
-        if (settings.cancelling() && transaction.attemptsInFlight() > 0) {
+        if (settings.cancellationAllowed() && transaction.attemptsInFlight() > 0) {
             cancelLastAttempt(transaction);
         }
         transactions.removeIfOver(transaction);
--- a/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
@@ -58,11 +58,16 @@
     }
 
     private static double[] permittedParts(PolicySettings settings) {
-        double mostRevenue =
-                settings.profiles().stream().mapToDouble(Profile::revenue).max().orElse(1);
+        double mostRevenue = settings.profiles().stream()
+                .mapToDouble(Profile::priorityWeight)
+                .max()
+                .orElse(1);
         return settings.profiles().stream()
                 .mapToDouble(profile -> LEAST_PERMITTED_PART
-                        + REVENUE_PART * Math.max(settings.evenness(), profile.revenue() / Math.max(mostRevenue, 1e-9)))
+                        + REVENUE_PART
+                                * Math.max(
+                                        settings.worstProfileWeight(),
+                                        profile.priorityWeight() / Math.max(mostRevenue, 1e-9)))
                 .toArray();
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/admission/SlowStartBudget.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/SlowStartBudget.java
@@ -58,13 +58,13 @@
             return true;
         }
         double rate = workPerWeight.total(now) / SPAN;
-        double warmWork = Math.max(1e-9, endpoint.weight() * settings.fallSpan() * rate);
+        double warmWork = Math.max(1e-9, endpoint.weight() * settings.crashTicks() * rate);
         double proven = endpoint.slowStart().committedWork(now);
         if (ramp && random.next() > Math.max(fraction, PROVEN_GROWTH * proven / warmWork)) {
             return false;
         }
         double capacity = Math.max(fraction * warmWork, proven);
-        double budget = SAFETY_MARGIN * settings.fallMultiple() * capacity;
+        double budget = SAFETY_MARGIN * settings.crashMultiple() * capacity;
         return endpoint.slowStart().sentWork(now) + work(transaction) <= budget || isIdle(now, endpoint);
     }
 
@@ -76,7 +76,7 @@
     private boolean isIdle(long now, Endpoint endpoint) {
         long apart = (long) (fleet.sidecarsPerEndpoint()
                 * latency.lowestMeanTicks()
-                / (settings.coldFrom() * settings.fallMultiple()));
-        return now - endpoint.slowStart().lastSentAt() > Math.max(apart, settings.fallSpan());
+                / (settings.slowStartInitialFraction() * settings.crashMultiple()));
+        return now - endpoint.slowStart().lastSentAt() > Math.max(apart, settings.crashTicks());
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/FleetSummary.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/FleetSummary.java
@@ -19,7 +19,7 @@
     public FleetSummary(EndpointTable endpoints, PolicySettings settings) {
         this.endpoints = endpoints;
         localZone = settings.zone();
-        sidecars = settings.sidecars();
+        sidecars = settings.fleetSize();
     }
 
     /** Counts again after the endpoints in use have changed. */
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/SlowStart.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/SlowStart.java
@@ -19,9 +19,9 @@
     private long lastSentAt;
 
     SlowStart(PolicySettings settings) {
-        initialFraction = settings.coldFrom();
-        warmUpTicks = settings.coldFor();
-        long span = settings.fallSpan();
+        initialFraction = settings.slowStartInitialFraction();
+        warmUpTicks = settings.slowStartTicks();
+        long span = settings.crashTicks();
         // One bucket more than the span, so that the buckets always cover it.
         sentWork = new SlidingWindowSum(span + span / BUCKETS, BUCKETS + 1);
         committedWork = new SlidingWindowSum(span, BUCKETS);
--- a/sidecar/src/main/java/trestlegrade/policy/estimate/LatencyEstimator.java
+++ b/sidecar/src/main/java/trestlegrade/policy/estimate/LatencyEstimator.java
@@ -39,7 +39,7 @@
         profileCost = new double[profiles];
         profileAnswers = new int[profiles];
         for (int i = 0; i < profiles; i++) {
-            long objective = settings.profiles().get(i).serviceGoal();
+            long objective = settings.profiles().get(i).latencyObjectiveTicks();
             profileLatency[i] = objective / INITIAL_PART_OF_OBJECTIVE;
             meanLatency += profileLatency[i] / profiles;
             meanObjective += (double) objective / profiles;
@@ -54,7 +54,7 @@
         double step = Math.max(STEP, 1.0 / profileAnswers[profile]);
         profileLatency[profile] += Math.min(step, 1.0 / FEWEST_ANSWERS) * (tookTicks - profileLatency[profile]);
         meanLatency += STEP * (tookTicks - meanLatency);
-        meanObjective += STEP * (settings.profiles().get(profile).serviceGoal() - meanObjective);
+        meanObjective += STEP * (settings.profiles().get(profile).latencyObjectiveTicks() - meanObjective);
         lowestMeanLatency = Math.min(lowestMeanLatency, meanLatency);
         if (costHint > 0) {
             profileCost[profile] += step * (costHint - profileCost[profile]);
--- a/sidecar/src/main/java/trestlegrade/policy/request/RejectionReason.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/RejectionReason.java
@@ -7,11 +7,11 @@
     /** Shed: the expected wait misses the latency objective, or the customer is over its quota. */
     OVERLOAD,
     /** No listed endpoint may take it. */
-    NO_SERVER,
+    NO_ENDPOINT,
     /** Its deadline has passed. */
     DEADLINE,
     /** An attempt failed, and the time left is too short for a retry. */
-    LITTLE_TIME,
+    INSUFFICIENT_TIME,
     /** An attempt failed, and the retry budget is used up. */
     RETRY_BUDGET
 }
--- a/sidecar/src/main/java/trestlegrade/policy/retry/DeadlinePolicy.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/DeadlinePolicy.java
@@ -45,14 +45,14 @@
             return null;
         }
         if (!hasTimeFor(now, transaction)) {
-            return RejectionReason.LITTLE_TIME;
+            return RejectionReason.INSUFFICIENT_TIME;
         }
         return budget.hasToken() || !transaction.retryAddsWork() ? null : RejectionReason.RETRY_BUDGET;
     }
 
     /** Whether a transaction for which there is no endpoint may wait for one: none that was sent before does. */
     public boolean mayWaitForEndpoint(long now, Transaction transaction) {
-        long objective = settings.profiles().get(transaction.profile()).serviceGoal();
+        long objective = settings.profiles().get(transaction.profile()).latencyObjectiveTicks();
         long longest = Math.min(objective, transaction.deadline() - transaction.arrivedAt()) / WAIT_PART;
         return !transaction.hasAttempts() && now - transaction.arrivedAt() < longest;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/retry/DiscoveryBackoff.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/DiscoveryBackoff.java
@@ -41,8 +41,8 @@
     /** Takes the size of the fleet and the longest time without a call from the settings. */
     public DiscoveryBackoff(PolicySettings settings, long seed) {
         random = new SeededRandom(seed);
-        fleetSpreadTicks = settings.sidecars() * SPREAD_TICKS_PER_SIDECAR;
-        maxBackoffTicks = Math.min(settings.askWithin() / 4, MAX_BACKOFF_TICKS);
+        fleetSpreadTicks = settings.fleetSize() * SPREAD_TICKS_PER_SIDECAR;
+        maxBackoffTicks = Math.min(settings.maxPollIntervalTicks() / 4, MAX_BACKOFF_TICKS);
     }
 
     /** Returns the delay before the first call: a whole fleet may start at once, with the lists it was given. */
--- a/sidecar/src/main/java/trestlegrade/policy/selection/EndpointSubset.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/EndpointSubset.java
@@ -34,7 +34,7 @@
     /** Marks the endpoints in use. */
     void choose(List<Endpoint> endpoints) {
         endpoints.forEach(endpoint -> endpoint.setInUse(endpoint.isReady()));
-        if (settings.connectionFee() == 0) {
+        if (settings.connectionCost() == 0) {
             return;
         }
         Map<Integer, List<Endpoint>> zones = endpoints.stream()
@@ -46,8 +46,8 @@
 
     private void keepWindow(List<Endpoint> zone, int zones) {
         int count = zone.size();
-        int first = (int) (settings.number() * GOLDEN_RATIO % 1 * count);
-        double share = CONNECTIONS_PER_ENDPOINT * count * zones / settings.sidecars();
+        int first = (int) (settings.sidecarIndex() * GOLDEN_RATIO % 1 * count);
+        double share = CONNECTIONS_PER_ENDPOINT * count * zones / settings.fleetSize();
         long window = Math.round(Math.max(LEAST_WINDOW, share));
         for (long i = window; i < count; i++) {
             zone.get((int) ((first + i) % count)).setInUse(false);
--- a/sidecar/src/main/java/trestlegrade/policy/selection/KeyAffinity.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/KeyAffinity.java
@@ -26,7 +26,7 @@
 
     /** Draws from the random source for each transaction with a key. */
     public KeyAffinity(PolicySettings settings, ZoneAffinity zoneAffinity, SeededRandom random) {
-        enabled = settings.warmKeys();
+        enabled = settings.keyAffinity();
         this.zoneAffinity = zoneAffinity;
         this.random = random;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/selection/ZoneAffinity.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/ZoneAffinity.java
@@ -25,7 +25,7 @@
     public ZoneAffinity(PolicySettings settings, FleetSummary fleet, SeededRandom random) {
         this.fleet = fleet;
         this.random = random;
-        crossingCosts = settings.crossFee() >= LEAST_FEE;
+        crossingCosts = settings.crossZoneCost() >= LEAST_FEE;
         crossZonePart = crossingCosts ? 0 : 1;
     }
 
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
@@ -26,12 +26,12 @@
     }
 
     /** The time of the turn under way, in ticks; it never goes back. Event loop only. */
-    public long now() {
+    long now() {
         return now;
     }
 
     /** Appends an event; called from any thread. */
-    public void submit(Runnable event) {
+    void submit(Runnable event) {
         submitTo(events, event);
     }
 
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -45,7 +45,7 @@
         this.loop = loop;
         this.counters = counters;
         this.lease = lease;
-        events = new PolicyEventQueue(loop, e -> counters.log.add(() -> Logger.error(e, "desk code=fault")));
+        events = new PolicyEventQueue(loop, e -> counters.log.add(() -> Logger.error(e, "policy code=error")));
         generations = new PolicyGenerations(new PolicyGeneration(this, settings, seed, lease));
     }
 
@@ -202,7 +202,7 @@
     }
 
     /** Transactions that the decisions still hold, under all settings in use. */
-    public int heldTransactions() {
+    int heldTransactions() {
         return generations.heldTransactions();
     }
 
@@ -230,21 +230,21 @@
         attemptSender.cancel(openRequests.get(transactionId).attempts.get(attemptNumber));
     }
 
-    public void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason) {
+    void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason) {
         InboundRequest request = openRequests.get(transactionId);
         counters.rejections.rolledBack(events.now(), request, reason);
         request.rollBack(retryAfterTicks, counters);
         forgetIfOver(request);
     }
 
-    public void abandon(long transactionId, RejectionReason reason) {
+    void abandon(long transactionId, RejectionReason reason) {
         InboundRequest request = openRequests.get(transactionId);
         counters.rejections.abandoned(events.now(), request, reason);
         request.abandon(counters);
         forgetIfOver(request);
     }
 
-    public void scheduleTick(LoadBalancer loadBalancer, long delayTicks) {
+    void scheduleTick(LoadBalancer loadBalancer, long delayTicks) {
         long delayMillis = Math.max(1, delayTicks / MonotonicClock.TICKS_PER_MILLI);
         loop.vertx().setTimer(delayMillis, t -> events.submit(() -> loadBalancer.onTick(events.now())));
     }
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyGeneration.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyGeneration.java
@@ -23,7 +23,7 @@
         loadBalancer = new LoadBalancer(settings, seed, this, lease);
     }
 
-    public LoadBalancer loadBalancer() {
+    LoadBalancer loadBalancer() {
         return loadBalancer;
     }
 
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyGenerations.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyGenerations.java
@@ -14,17 +14,17 @@
         current = first;
     }
 
-    public PolicyGeneration current() {
+    PolicyGeneration current() {
         return current;
     }
 
     /** Number of sets of settings in use. */
-    public int count() {
+    int count() {
         return 1 + retiring.size();
     }
 
     /** Transactions that the decisions hold, under all settings in use. */
-    public int heldTransactions() {
+    int heldTransactions() {
         return current.loadBalancer().heldTransactions()
                 + retiring.stream()
                         .mapToInt(each -> each.loadBalancer().heldTransactions())
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -46,7 +46,7 @@
     private InboundHttpServer inboundServer;
     private EndpointListSource discovery;
 
-    public Sidecar(SidecarConfig config, Counters counters) {
+    Sidecar(SidecarConfig config, Counters counters) {
         startConfig = config;
         currentConfig = config;
         this.counters = counters;
@@ -76,7 +76,7 @@
      *
      * @return the number of warm-up transactions once the sidecar calls itself healthy; failed if it can't listen
      */
-    public Future<Integer> start(Vertx vertx, Context context) {
+    Future<Integer> start(Vertx vertx, Context context) {
         MonotonicClock clock = new MonotonicClock();
         long startTicks = clock.now();
         EventLoopLag lag = new EventLoopLag(vertx, clock, counters.loopLagTicks);
@@ -135,21 +135,21 @@
     private void becomeReady(int warmUpTransactions, long startTicks) {
         inboundServer.markReady();
         long startMillis = (loop.clock().now() - startTicks) / MonotonicClock.TICKS_PER_MILLI;
-        log.add(() -> Logger.info("serve code=ready rehearsed={} after_ms={}", warmUpTransactions, startMillis));
+        log.add(() -> Logger.info("serve code=ready warm_up_requests={} after_ms={}", warmUpTransactions, startMillis));
     }
 
     /** What is open now: each figure is back at 0 once nothing is under way. */
     private void registerGauges() {
         counters.gauge("transactions", policyExecutor::openTransactions);
-        counters.gauge("decided_on", policyExecutor::heldTransactions);
-        counters.gauge("settings_in_use", policyExecutor::generationCount);
+        counters.gauge("held_transactions", policyExecutor::heldTransactions);
+        counters.gauge("policy_generations", policyExecutor::generationCount);
         counters.gauge("open_ids", inboundServer::openTraceIds);
         counters.gauge("request_body_kb", () -> inboundServer.requestBodyBytes() >> 10);
         counters.gauge("answer_body_kb", () -> attemptSender.responseBodyBytes() >> 10);
         counters.gauge("clients", inboundServer::connections);
         counters.gauge("pooled", attemptSender::connections);
         counters.gauge("list_version", discovery::version);
-        counters.gauge("list_unconfirmed_ms", discovery::ageMillis);
+        counters.gauge("list_age_ms", discovery::ageMillis);
         HeapMonitor.start(loop.vertx(), counters);
     }
 
@@ -157,7 +157,7 @@
      * SIGHUP: uses another configuration's address of discovery, and its settings for all transactions that arrive from
      * now on; what happens to the open ones stands at {@link PolicyGeneration}. Does nothing before the start.
      */
-    public void reload(SidecarConfig config) {
+    void reload(SidecarConfig config) {
         if (discovery == null) {
             return;
         }
@@ -182,9 +182,9 @@
     }
 
     /** SIGTERM: serves what was taken, then ends. The callback runs once everything is answered or time is up. */
-    public void drain(Runnable drained) {
+    void drain(Runnable drained) {
         int open = policyExecutor.openTransactions();
-        log.add(() -> Logger.info("serve code=leaving open={}", open));
+        log.add(() -> Logger.info("serve code=draining open={}", open));
         inboundServer.shutDown(drained);
     }
 }
--- a/sidecar/src/test/java/trestlegrade/config/SidecarConfigReaderTest.java
+++ b/sidecar/src/test/java/trestlegrade/config/SidecarConfigReaderTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import trestlegrade.policy.settings.PolicySettings.Repeat;
+import trestlegrade.policy.settings.PolicySettings.Idempotency;
 
 /** What a configuration becomes, and what is said of one that cannot be used: operators go by these texts. */
 class SidecarConfigReaderTest {
@@ -38,7 +38,8 @@
         assertEquals(500, config.longestLatencyObjectiveMillis());
         assertEquals(0.5, config.policySettings().customers().get(1).share());
         assertEquals(
-                Repeat.NON_IDEMPOTENT, config.policySettings().profiles().get(0).repeat());
+                Idempotency.NON_IDEMPOTENT,
+                config.policySettings().profiles().get(0).idempotency());
     }
 
     @ParameterizedTest
--- a/sidecar/src/test/java/trestlegrade/integration/BodyMemoryBudgetIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/BodyMemoryBudgetIT.java
@@ -46,7 +46,7 @@
             int id = i;
             answers.add(clients.submit(() -> client().ask(posted(id))));
         }
-        eventually(() -> counters().getLong("taken", 0L)
+        eventually(() -> counters().getLong("accepted", 0L)
                         + answers.stream().filter(Future::isDone).count()
                 >= CLIENTS);
         gate.open();
--- a/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
@@ -106,7 +106,7 @@
             pause(3_000);
             if (ends) {
                 signal("TERM");
-                eventually(() -> log().contains("serve code=leaving"));
+                eventually(() -> log().contains("serve code=draining"));
                 pause(1_000);
             }
             InputStream in = new BufferedInputStream(socket.getInputStream());
--- a/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
@@ -92,7 +92,7 @@
         eventually(() -> !discovery.seen.isEmpty());
         TestClient client = client();
         client.write(transaction("quote", "t", 30_000));
-        eventually(() -> counters().getLong("taken", 0L) == 1);
+        eventually(() -> counters().getLong("accepted", 0L) == 1);
         client.close();
         leftIsKnown();
         discovery.line(list(8, false, entry(0, "active")));
@@ -249,7 +249,7 @@
                 () -> cancelling || counters().getJsonObject("attempts_ended").size() > 0);
         another();
         assertEquals(2, endpoint.seen.size());
-        assertEquals(2, counters().getLong("taken"));
+        assertEquals(2, counters().getLong("accepted"));
     }
 
     /** What is sent ahead by a client that stays is answered, in order. */
--- a/sidecar/src/test/java/trestlegrade/integration/CompletedTransactionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/CompletedTransactionsIT.java
@@ -55,9 +55,9 @@
     private void nothingIsHeld() {
         eventually(() -> {
             JsonObject now = counters().getJsonObject("now", new JsonObject());
-            return List.of("transactions", "decided_on", "open_ids").stream()
+            return List.of("transactions", "held_transactions", "open_ids").stream()
                             .allMatch(each -> now.getInteger(each, -1) == 0)
-                    && now.getInteger("settings_in_use") == 1;
+                    && now.getInteger("policy_generations") == 1;
         });
     }
 
@@ -69,7 +69,10 @@
         assertTrue(process.isAlive());
         assertEquals(
                 MANY,
-                counters().getJsonObject("refused").getJsonObject("no_server").getInteger("rolled_back"));
+                counters()
+                        .getJsonObject("rejections")
+                        .getJsonObject("no_endpoint")
+                        .getInteger("rolled_back"));
         nothingIsHeld();
         assertEquals(0, endpoint.seen.size());
     }
@@ -90,7 +93,7 @@
         changed.getJsonObject("settings").put("n_instances", 4);
         Files.writeString(file, changed.encode());
         signal("HUP");
-        eventually(() -> counters().getJsonObject("now").getInteger("settings_in_use") == 2);
+        eventually(() -> counters().getJsonObject("now").getInteger("policy_generations") == 2);
         assertTrue(client.read().startsWith("HTTP/1.1 503 "));
         nothingIsHeld();
     }
--- a/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
@@ -76,7 +76,7 @@
             answered(ask(clients.get(i), "t" + i));
         }
         process.destroy();
-        eventually(() -> log().contains("code=leaving"));
+        eventually(() -> log().contains("code=draining"));
         signal("STOP");
         eventually(this::stopped);
         for (int i = 10; i < 40; i++) {
@@ -180,7 +180,7 @@
         eventually(() -> endpoint.saw("u"));
         long start = System.nanoTime();
         process.destroy();
-        eventually(() -> log().contains("code=leaving"));
+        eventually(() -> log().contains("code=draining"));
         reread(limits(settings().copy(), limit, limit / 2));
         client.write(transaction("post-charge", "v", 9_000));
         answered(client);
@@ -250,7 +250,7 @@
         TestClient client = client();
         answered(ask(client, "t", 1_500));
         process.destroy();
-        eventually(() -> log().contains("code=leaving"));
+        eventually(() -> log().contains("code=draining"));
         client.write("POST /post-charge HTTP/1.1\r\nHost: h\r\nContent-Len");
         Stopwatch watch = new Stopwatch();
         assertEquals("", client.read());
--- a/sidecar/src/test/java/trestlegrade/integration/RequestForwardingIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/RequestForwardingIT.java
@@ -29,9 +29,9 @@
                 endpoint(r -> answer(200, "Content-Type: text/x-own\r\nKeep-Alive: timeout=5\r\n", "served \u00e9\n"));
         serve();
         // The log is written on a thread of its own, behind the moment at which the sidecar calls itself healthy.
-        eventually(() -> log().matches("(?s).*code=ready rehearsed=[1-9]\\d* .*"));
+        eventually(() -> log().matches("(?s).*code=ready warm_up_requests=[1-9]\\d* .*"));
         assertEquals(List.of(), endpoint.seen);
-        assertEquals(0, counters().getLong("taken"));
+        assertEquals(0, counters().getLong("accepted"));
         String body = "x".repeat(64 << 10);
         String target = "/post-charge/a%2Fb;v=1//c?k=7f&x=%zz&&y=\u00c3\u00a9";
         String got = client().ask("POST " + target + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a-\u00e9-1\r\n"
--- a/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
@@ -161,7 +161,7 @@
         assertEquals(5, log().split("code=adopted", -1).length);
         assertEquals(1, discovery.seen.size());
         JsonObject counted = counters();
-        assertEquals(counted.getLong("taken"), counted.getLong("committed") + counted.getLong("rolled_back"));
+        assertEquals(counted.getLong("accepted"), counted.getLong("committed") + counted.getLong("rolled_back"));
     }
 
     /** What was taken under the settings before hears of a drain as well. */
--- a/sidecar/src/test/java/trestlegrade/policy/EndpointUpdatesTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/EndpointUpdatesTest.java
@@ -13,7 +13,7 @@
 import trestlegrade.policy.endpoint.EndpointUpdate;
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 import trestlegrade.policy.request.AttemptOutcome;
-import trestlegrade.policy.settings.PolicySettings.Group;
+import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
 /** The endpoint list: draining (rule 3), restarts, and how it is asked for. */
 class EndpointUpdatesTest {
@@ -64,7 +64,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone", "missing"})
     void nothingNewGoesToDrainingOrGoneEndpoints(String how) {
-        PolicyHarness harness = new PolicyHarness(Group.ALL, 3).fleet(State.READY, 0);
+        PolicyHarness harness = new PolicyHarness(DeduplicationScope.ALL, 3).fleet(State.READY, 0);
         harness.arrive(1);
         if (how.equals("missing")) {
             harness.loadBalancer.onEndpointUpdates(
@@ -105,7 +105,8 @@
     @ValueSource(ints = {10_000, 60_000})
     void listCallIsRepeatedWithinTheNotificationTime(int askWithin) {
         for (int seed = 0; seed < 50; seed++) {
-            PolicyHarness harness = new PolicyHarness(seed, Group.CELL, 3, "safety.ask_within=" + askWithin);
+            PolicyHarness harness =
+                    new PolicyHarness(seed, DeduplicationScope.CELL, 3, "safety.ask_within=" + askWithin);
             for (int i = 0; i < 12; i++) {
                 harness.loadBalancer.onEndpointListFailed(harness.now);
                 int before = harness.subscriptions;
--- a/sidecar/src/test/java/trestlegrade/policy/FinalAnswerTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/FinalAnswerTest.java
@@ -13,7 +13,7 @@
 import trestlegrade.policy.PolicyHarness.SentAttempt;
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 import trestlegrade.policy.request.AttemptOutcome;
-import trestlegrade.policy.settings.PolicySettings.Group;
+import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
 /** Rule 1: one final answer for each transaction, and nothing kept after it. */
 class FinalAnswerTest {
@@ -51,7 +51,7 @@
         "0, ,              ROLLED_BACK",
     })
     void oneFinalAnswerAtTheDeadline(int profile, AttemptOutcome outcome, Rejection expected) {
-        PolicyHarness harness = new PolicyHarness(Group.CELL, 1).fleet(State.READY, 0);
+        PolicyHarness harness = new PolicyHarness(DeduplicationScope.CELL, 1).fleet(State.READY, 0);
         long id = harness.arrive(profile);
         SentAttempt attempt = harness.last();
         if (outcome != null) {
--- a/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
@@ -12,7 +12,7 @@
 import trestlegrade.policy.PolicyHarness.SentAttempt;
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 import trestlegrade.policy.request.AttemptOutcome;
-import trestlegrade.policy.settings.PolicySettings.Group;
+import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
 /** Load shedding: what counts as overload, and which profiles go first. */
 class LoadShedderTest {
@@ -51,7 +51,7 @@
     /** Attempts stuck at one endpoint are no sign that all endpoints are overloaded. */
     @Test
     void attemptsStuckAtOneEndpointShedNothing() {
-        PolicyHarness harness = new PolicyHarness(Group.ALL, 3).fleet(State.READY, 0);
+        PolicyHarness harness = new PolicyHarness(DeduplicationScope.ALL, 3).fleet(State.READY, 0);
         harness.traffic(20_000, -1, null, 0);
         harness.traffic(7_000, 103, null, 0);
         assertEquals(List.of(), harness.answers);
--- a/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
+++ b/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
@@ -11,7 +11,7 @@
 import trestlegrade.policy.lease.EndpointListLease;
 import trestlegrade.policy.request.AttemptOutcome;
 import trestlegrade.policy.request.RejectionReason;
-import trestlegrade.policy.settings.PolicySettings.Group;
+import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
 /** A sidecar's decisions with a fleet of ten endpoints (ids 100 to 109), whose answers the test gives by hand. */
 public final class PolicyHarness implements PolicyActions {
@@ -51,25 +51,26 @@
     public final LoadBalancer loadBalancer;
 
     /** Profiles 0 idempotent, 1 journalled, 2 non-idempotent; goal 0.5 s, deadline 1 s; and further settings. */
-    public PolicyHarness(Group group, int maxAttempts, String... further) {
+    public PolicyHarness(DeduplicationScope group, int maxAttempts, String... further) {
         this(7, group, maxAttempts, further);
     }
 
     /** One of several that differ by chance alone. */
     public PolicyHarness(long seed) {
-        this(seed, Group.CELL, 3);
+        this(seed, DeduplicationScope.CELL, 3);
     }
 
-    public PolicyHarness(long seed, Group group, int maxAttempts, String... further) {
+    public PolicyHarness(long seed, DeduplicationScope group, int maxAttempts, String... further) {
         this(seed, EndpointListLease.permanent(), group, maxAttempts, further);
     }
 
     /** One that sends by a list as long as the lease holds. */
-    public PolicyHarness(EndpointListLease lease, Group group, int maxAttempts) {
+    public PolicyHarness(EndpointListLease lease, DeduplicationScope group, int maxAttempts) {
         this(7, lease, group, maxAttempts);
     }
 
-    private PolicyHarness(long seed, EndpointListLease lease, Group group, int maxAttempts, String... further) {
+    private PolicyHarness(
+            long seed, EndpointListLease lease, DeduplicationScope group, int maxAttempts, String... further) {
         StringBuilder settings = new StringBuilder("""
                 n_instances=4
                 ceilings.cancelling=true
@@ -99,7 +100,7 @@
     }
 
     public PolicyHarness(String... further) {
-        this(Group.CELL, 3, further);
+        this(DeduplicationScope.CELL, 3, further);
     }
 
     /** Endpoints in two zones and five cells of two, all in the state and with the start given. */
--- a/sidecar/src/test/java/trestlegrade/policy/RetryPolicyTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/RetryPolicyTest.java
@@ -11,7 +11,7 @@
 import trestlegrade.policy.PolicyHarness.SentAttempt;
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 import trestlegrade.policy.request.AttemptOutcome;
-import trestlegrade.policy.settings.PolicySettings.Group;
+import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
 /** Rule 2: what may be sent again, and what the client may be told. */
 class RetryPolicyTest {
@@ -34,7 +34,8 @@
         "2, CELL, NO_CONNECTION, again",
         "2, CELL, NOT_SENT,      again",
     })
-    void retryGoesOnlyWhereTheProfileAllows(int profile, Group group, AttemptOutcome outcome, String expected) {
+    void retryGoesOnlyWhereTheProfileAllows(
+            int profile, DeduplicationScope group, AttemptOutcome outcome, String expected) {
         for (int round = 0; round < 20; round++) {
             PolicyHarness harness = new PolicyHarness(group, 3).fleet(State.READY, 0);
             long id = harness.arrive(profile);
@@ -51,7 +52,7 @@
             if (expected.equals("group")) {
                 long again = harness.last().endpointId();
                 assertTrue(
-                        group == Group.CELL
+                        group == DeduplicationScope.CELL
                                 ? (first.endpointId() - 100) / 2 == (again - 100) / 2
                                 : first.endpointId() % 2 == again % 2);
             }
@@ -61,7 +62,7 @@
     /** A journalled transaction that may have run is neither resent past its window nor rolled back. */
     @Test
     void windowCountsFromTheFirstAttemptThatMayHaveRun() {
-        PolicyHarness harness = new PolicyHarness(Group.CELL, 3).fleet(State.READY, 0);
+        PolicyHarness harness = new PolicyHarness(DeduplicationScope.CELL, 3).fleet(State.READY, 0);
         harness.loadBalancer.onArrival(harness.now, 9, 1, 0, 0, 100_000, 0);
         harness.now += 19_500;
         harness.end(harness.last(), AttemptOutcome.BROKEN, 19_500);
@@ -74,7 +75,7 @@
     @CsvSource({"0, true, 2", "1, true, 2", "2, true, 1", "0, false, 1"})
     void lostAttemptIsCancelledBeforeItsRetry(int profile, boolean cancelling, int attempts) {
         PolicyHarness harness =
-                new PolicyHarness(Group.ALL, 3, "ceilings.cancelling=" + cancelling).fleet(State.READY, 0);
+                new PolicyHarness(DeduplicationScope.ALL, 3, "ceilings.cancelling=" + cancelling).fleet(State.READY, 0);
         harness.traffic(20_000, -1, null, 0);
         List.copyOf(harness.sent).forEach(attempt -> harness.end(attempt, AttemptOutcome.COMMITTED, 200));
         int before = harness.sent.size();
--- a/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
@@ -13,7 +13,7 @@
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 import trestlegrade.policy.request.AttemptOutcome;
 import trestlegrade.policy.request.RejectionReason;
-import trestlegrade.policy.settings.PolicySettings.Group;
+import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
 /** The lease of the list; times in tenths of a millisecond, confirmed at 100,000 first. */
 class EndpointListLeaseTest {
@@ -71,7 +71,7 @@
     @Test
     void decisionsSendNothingPastItsEnd() {
         EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
-        PolicyHarness harness = new PolicyHarness(lease, Group.ALL, 3).fleet(State.READY, 0);
+        PolicyHarness harness = new PolicyHarness(lease, DeduplicationScope.ALL, 3).fleet(State.READY, 0);
         harness.now += EndpointListLease.NOTIFICATION_TICKS + 6_900;
         long open = harness.arrive(2);
         assertEquals(1, harness.sent.size());
@@ -96,7 +96,7 @@
     @Test
     void serversThatServeAreSentToWithoutDiscovery() {
         EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
-        PolicyHarness harness = new PolicyHarness(lease, Group.ALL, 3).fleet(State.READY, 0);
+        PolicyHarness harness = new PolicyHarness(lease, DeduplicationScope.ALL, 3).fleet(State.READY, 0);
         harness.traffic(100_000, 100, AttemptOutcome.COMMITTED, 200);
         int before = harness.sent.size();
         int drains = harness.traffic(67_000, 100, AttemptOutcome.TURNED_AWAY, 10);
@@ -114,7 +114,7 @@
     @Test
     void whatAServerServedLongAgoTellsNothing() {
         EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
-        PolicyHarness harness = new PolicyHarness(lease, Group.ALL, 3).fleet(State.READY, 0);
+        PolicyHarness harness = new PolicyHarness(lease, DeduplicationScope.ALL, 3).fleet(State.READY, 0);
         harness.now += 60_000;
         harness.arrive(0);
         harness.now += 500;
