--- a/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
@@ -117,7 +117,7 @@
         settle(
                 attempt,
                 clock.now() < attempt.request.metadata.deadline()
-                        ? AttemptOutcome.CALLED_OFF
+                        ? AttemptOutcome.CANCELLED
                         : AttemptOutcome.TIMED_OUT);
     }
 
@@ -182,7 +182,7 @@
         }
         boolean neverRan = (status == STATUS_UNAVAILABLE || status == STATUS_GATEWAY_TIMEOUT)
                 && "1".equals(attempt.responseHead.headers().get("X-Never-Ran"));
-        return neverRan ? AttemptOutcome.TURNED_AWAY : AttemptOutcome.ERROR;
+        return neverRan ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR;
     }
 
     @Override
@@ -253,8 +253,8 @@
     private static ConnectionEnd connectionEnd(AttemptOutcome outcome) {
         return switch (outcome) {
             case TIMED_OUT -> ConnectionEnd.TIMED_OUT;
-            case CALLED_OFF -> ConnectionEnd.CANCELLED;
-            case COMMITTED, TURNED_AWAY, ERROR -> ConnectionEnd.EARLY_RESPONSE;
+            case CANCELLED -> ConnectionEnd.CANCELLED;
+            case COMMITTED, REJECTED, ERROR -> ConnectionEnd.EARLY_RESPONSE;
             case BROKEN, NO_CONNECTION, NOT_SENT -> ConnectionEnd.BROKEN;
         };
     }
@@ -288,12 +288,12 @@
 
     private static boolean isResponse(AttemptOutcome outcome) {
         return outcome == AttemptOutcome.COMMITTED
-                || outcome == AttemptOutcome.TURNED_AWAY
+                || outcome == AttemptOutcome.REJECTED
                 || outcome == AttemptOutcome.ERROR;
     }
 
     private static AttemptOutcome neverWritten(AttemptOutcome outcome) {
-        return outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.CALLED_OFF
+        return outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.CANCELLED
                 ? AttemptOutcome.NOT_SENT
                 : AttemptOutcome.NO_CONNECTION;
     }
--- a/sidecar/src/main/java/trestlegrade/outbound/ConnectionEnd.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ConnectionEnd.java
@@ -17,7 +17,7 @@
     /** Its attempt timed out. */
     TIMED_OUT("timed-out"),
     /** Its attempt was cancelled. */
-    CANCELLED("called-off"),
+    CANCELLED("cancelled"),
     /** The response came before the request was written to its last byte. */
     EARLY_RESPONSE("early-answer"),
     /** The endpoint or the network ended it under an attempt, or a write failed. */
--- a/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
@@ -94,7 +94,7 @@
         AttemptOutcome outcome = attempt.outcome();
         if (outcome == AttemptOutcome.COMMITTED) {
             commits.add(now, counted);
-        } else if (outcome == AttemptOutcome.TIMED_OUT || outcome == AttemptOutcome.CALLED_OFF) {
+        } else if (outcome == AttemptOutcome.TIMED_OUT || outcome == AttemptOutcome.CANCELLED) {
             fruitless.add(now, counted);
         }
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/ServiceProof.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/ServiceProof.java
@@ -17,7 +17,7 @@
 
     /** Takes the outcome of an attempt that was sent at the time given. */
     public void onAttemptEnded(long now, long sentAt, AttemptOutcome outcome) {
-        if (outcome == AttemptOutcome.TURNED_AWAY || outcome == AttemptOutcome.NO_CONNECTION) {
+        if (outcome == AttemptOutcome.REJECTED || outcome == AttemptOutcome.NO_CONNECTION) {
             servedAt = EndpointListLease.NEVER;
             rejectedAt = now;
         } else if (outcome == AttemptOutcome.COMMITTED && sentAt > rejectedAt) {
--- a/sidecar/src/main/java/trestlegrade/policy/request/AttemptOutcome.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/AttemptOutcome.java
@@ -5,13 +5,13 @@
     COMMITTED(false),
     ERROR(false),
     /** The endpoint rejected it unprocessed. */
-    TURNED_AWAY(true),
+    REJECTED(true),
     TIMED_OUT(false),
     NO_CONNECTION(true),
     /** The connection broke before the response was complete. */
     BROKEN(false),
     /** Cancelled by this sidecar. */
-    CALLED_OFF(false),
+    CANCELLED(false),
     /** Never written: the connection came too late. */
     NOT_SENT(true);
 
@@ -33,6 +33,6 @@
 
     /** Whether this sidecar ended the attempt before it could tell anything of the endpoint. */
     public boolean isUninformative() {
-        return this == CALLED_OFF || this == NOT_SENT;
+        return this == CANCELLED || this == NOT_SENT;
     }
 }
--- a/sidecar/src/test/java/trestlegrade/policy/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/OutlierEjectionTest.java
@@ -25,7 +25,7 @@
         assertTrue(attempts <= most, "still got " + attempts + " of about 2500 attempts");
         for (SentAttempt each : List.copyOf(harness.sent)) {
             if (each.endpointId() == 103) {
-                harness.end(each, AttemptOutcome.CALLED_OFF, 1);
+                harness.end(each, AttemptOutcome.CANCELLED, 1);
             }
         }
         harness.traffic(100_000, 103, AttemptOutcome.COMMITTED, 200);
--- a/sidecar/src/test/java/trestlegrade/policy/RetryPolicyTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/RetryPolicyTest.java
@@ -21,7 +21,7 @@
     @CsvSource({
         "0, CELL, ERROR,         again",
         "0, CELL, NO_CONNECTION, again",
-        "0, CELL, TURNED_AWAY,   again",
+        "0, CELL, REJECTED,   again",
         "0, CELL, BROKEN,        again",
         "1, CELL, ERROR,         group",
         "1, ZONE, BROKEN,        group",
@@ -30,7 +30,7 @@
         "2, CELL, ERROR,         abandoned",
         "2, ALL,  BROKEN,        abandoned",
         "2, CELL, TIMED_OUT,     abandoned",
-        "2, CELL, CALLED_OFF,    abandoned",
+        "2, CELL, CANCELLED,    abandoned",
         "2, CELL, NO_CONNECTION, again",
         "2, CELL, NOT_SENT,      again",
     })
@@ -84,7 +84,7 @@
         assertEquals(before + 1, harness.sent.size());
         assertEquals(attempts > 1, harness.cancelled.contains(99_999L));
         if (attempts > 1) {
-            harness.end(harness.last(), AttemptOutcome.CALLED_OFF, 12_500);
+            harness.end(harness.last(), AttemptOutcome.CANCELLED, 12_500);
         }
         harness.advance(1_000);
         assertEquals(before + attempts, harness.sent.size());
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -191,9 +191,9 @@
                 return AttemptOutcome.NO_CONNECTION;
             }
             if (refusing) {
-                return random.nextBoolean() ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.TURNED_AWAY;
+                return random.nextBoolean() ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.REJECTED;
             }
-            return state == EndpointUpdate.State.DRAINING && random.nextBoolean() ? AttemptOutcome.TURNED_AWAY : null;
+            return state == EndpointUpdate.State.DRAINING && random.nextBoolean() ? AttemptOutcome.REJECTED : null;
         }
     }
 
@@ -342,7 +342,7 @@
             record(2, tx, attempt, 0, 0);
             for (Sent each : List.copyOf(out.getOrDefault(tx, List.of()))) {
                 if (each.attempt() == attempt) {
-                    end(each, AttemptOutcome.CALLED_OFF, MILLISECOND);
+                    end(each, AttemptOutcome.CANCELLED, MILLISECOND);
                 }
             }
         }
--- a/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
@@ -99,7 +99,7 @@
         PolicyHarness harness = new PolicyHarness(lease, DeduplicationScope.ALL, 3).fleet(State.READY, 0);
         harness.traffic(100_000, 100, AttemptOutcome.COMMITTED, 200);
         int before = harness.sent.size();
-        int drains = harness.traffic(67_000, 100, AttemptOutcome.TURNED_AWAY, 10);
+        int drains = harness.traffic(67_000, 100, AttemptOutcome.REJECTED, 10);
         assertTrue(drains < 3, drains + " to the one that drains");
         assertTrue(harness.sent.size() - before > 3_000, harness.sent.size() - before + " sent");
         assertEquals(0, harness.traffic(433_000, 100, AttemptOutcome.COMMITTED, 200));
