--- a/sidecar/src/test/java/trestlegrade/integration/SigtermIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SigtermIT.java
@@ -49,7 +49,7 @@
         assertTrue(watch.milliseconds() < 3_700, "ends before it is killed");
         assertEquals(0, process.exitValue());
         String log = Files.readString(dir.resolve("log"));
-        assertTrue(log.contains("code=ended") && log.contains("\"taken\":6,\"committed\":5"), log);
+        assertTrue(log.contains("code=ended") && log.contains("\"accepted\":6,\"committed\":5"), log);
     }
 
     /** Clients that wait longer than the program is left alive get their one answer before its end all the same. */
