--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
@@ -19,7 +19,7 @@
  * Watches discovery for changes of the endpoint list over HTTP, and renews the lease of the list. Belongs to the event
  * loop.
  *
- * <p>One watch is open at a time. A silent one is suspected, and a replacement is opened beside it; the old one stays
+ * <p>One watch is in use at a time. A silent one is suspected, and a replacement is opened beside it; the old one stays
  * until the replacement is heard, since it may only be late. When the last watch ends, the listener of failures decides
  * when {@link #watch} is called again; where the list is pushed, the watch is reopened here.
  */
@@ -198,7 +198,7 @@
         }
 
         @Override
-        public void refused(long openedAt) {
+        public void nothingListens(long openedAt) {
             lease.discoveryUnreachable(openedAt);
         }
 
--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
@@ -38,7 +38,7 @@
         long version();
 
         /** Nothing listens at the address; follows {@link #ended}. */
-        void refused(long openedAt);
+        void nothingListens(long openedAt);
 
         void connected();
 
@@ -58,6 +58,7 @@
     enum EndReason {
         CONNECT_FAILED("connect-failed"),
         CLOSED("closed"),
+        /** Discovery answered with a status other than 200; unlike a refused connection this renews no lease. */
         REFUSED("refused"),
         MALFORMED("malformed"),
         SILENT("silent"),
@@ -137,7 +138,7 @@
     private void connectFailed(Throwable cause) {
         end(EndReason.CONNECT_FAILED, cause);
         if (isRefused(cause)) {
-            owner.refused(openedAt);
+            owner.nothingListens(openedAt);
         }
     }
 
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointListSource.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointListSource.java
@@ -9,14 +9,15 @@
  * of {@link DiscoveryClient}.
  *
  * <p>A source hands each message to the listener it was created with and renews the endpoint list lease with each sign
- * that it has no unknown changes. All methods are called on the sidecar's event loop.
+ * that it has no unknown changes. Where lists are polled, it reports a watch that ended without a successor; the
+ * decisions then call {@link #watch()} after a backoff. All methods are called on the sidecar's event loop.
  */
 public interface EndpointListSource {
 
     /** Starts a watch for changes after {@link #version()}; does nothing if one is under way. */
     void watch();
 
-    /** Adopts settings; must be called once before {@link #watch()}. */
+    /** Adopts settings: called before {@link #watch()}, and again at each SIGHUP with new settings. */
     void adopt(PolicySettings settings);
 
     /** Watches at another address from now on; the list and its version stay. Does nothing if it is the same. */
--- a/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
@@ -28,8 +28,6 @@
     /** How long a client that was accepted during shutdown has for its request, on a loop that is on time. */
     private static final long SHUTDOWN_GRACE_TICKS = ConnectionEvictor.UNREAD_TICKS;
 
-    private static final long TICKS_PER_MILLISECOND = 10;
-
     private final Vertx vertx;
     private final MonotonicClock clock;
     private final Counters counters;
@@ -128,7 +126,7 @@
             anyRecent |= shutDown(connection, before);
         }
         if (anyRecent) {
-            vertx.setTimer(SHUTDOWN_GRACE_TICKS / TICKS_PER_MILLISECOND, t -> shutDown());
+            vertx.setTimer(SHUTDOWN_GRACE_TICKS / MonotonicClock.TICKS_PER_MILLI, t -> shutDown());
         }
     }
 
--- a/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
@@ -17,7 +17,8 @@
  * <tr><th>phase</th><th>until</th><th>why</th></tr>
  * <tr><td>{@link Phase#DRAINING}</td><td>600</td>
  *   <td>clients open new connections for a while; all is served, but the health check fails</td></tr>
- * <tr><td>{@link Phase#CLOSES_WHEN_IDLE}</td><td>no client is connected, or max(600, R + 100 - longest goal / 2)</td>
+ * <tr><td>{@link Phase#CLOSES_WHEN_IDLE}</td>
+ *   <td>no client is connected, or max(600, R + 100 - longest latency objective / 2)</td>
  *   <td>the last transactions have half of their latency objective before the kill</td></tr>
  * <tr><td>{@link Phase#CLOSING}</td><td>the listener's backlog is empty, or R + 300</td>
  *   <td>clients in the backlog are served once descriptors are free; idle connections are closed, others end with
@@ -55,12 +56,11 @@
     /** For the last responses to be given and written on a loop that runs late. */
     private static final long RESPONSE_MARGIN_MILLIS = 100;
     /** For clients in the backlog, once the last responses have freed descriptors. */
-    private static final long BACKLOG_MARGIN_TICKS = 3_000;
+    private static final long BACKLOG_MARGIN_MILLIS = 300;
     /** Clients go on connecting for up to 400 ms; the rest is for a loop that runs late. */
     private static final long NEW_CLIENTS_MILLIS = 600;
 
     private static final long CHECK_INTERVAL_MILLIS = 10;
-    private static final long TICKS_PER_MILLISECOND = 10;
 
     private final Vertx vertx;
     private final Context context;
@@ -70,7 +70,7 @@
     private final BoundedTransport transport;
     private final ClientConnections connections;
     private Phase phase = Phase.RUNNING;
-    private long lastResponseAt = Long.MAX_VALUE;
+    private long responsesDueBy = Long.MAX_VALUE;
 
     GracefulShutdown(
             Vertx vertx,
@@ -100,8 +100,8 @@
     }
 
     /** By when each final response is given; {@link Long#MAX_VALUE} before SIGTERM. */
-    long lastResponseAt() {
-        return lastResponseAt;
+    long responsesDueBy() {
+        return responsesDueBy;
     }
 
     /**
@@ -115,8 +115,8 @@
         long deadlineMillis = Math.min(MAX_DEADLINE_MILLIS, config.longestDeadlineMillis());
         // Deadlines shorter than the wait for new clients: the last responses come after them, but before the kill.
         long respondMillis = Math.max(deadlineMillis, NEW_CLIENTS_MILLIS) + RESPONSE_MARGIN_MILLIS;
-        lastResponseAt = clock.now() + respondMillis * TICKS_PER_MILLISECOND;
-        executor.drainBy(lastResponseAt);
+        responsesDueBy = clock.now() + respondMillis * MonotonicClock.TICKS_PER_MILLI;
+        executor.drainBy(responsesDueBy);
         long closeMillis = respondMillis + RESPONSE_MARGIN_MILLIS - config.longestLatencyObjectiveMillis() / 2;
         vertx.setTimer(NEW_CLIENTS_MILLIS, t -> newClientsAwaited());
         vertx.setTimer(Math.max(NEW_CLIENTS_MILLIS, closeMillis), t -> close());
@@ -149,7 +149,8 @@
         // What connections have sent so far is read before they are taken for idle.
         lag.afterReading(connections::shutDown);
         Runnable onListenerClosed = () -> context.runOnContext(v -> lag.afterReading(this::listenerClosed));
-        transport.closeListener(clock, lastResponseAt + BACKLOG_MARGIN_TICKS, onListenerClosed);
+        transport.closeListener(
+                clock, responsesDueBy + BACKLOG_MARGIN_MILLIS * MonotonicClock.TICKS_PER_MILLI, onListenerClosed);
     }
 
     /** What the clients accepted last have sent has been read. */
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
@@ -34,8 +34,6 @@
     /** Of the heap; as much is for the bodies of responses. */
     private static final double REQUEST_BODIES_FRACTION = 0.3;
 
-    private static final long TICKS_PER_MILLISECOND = 10;
-
     private final Vertx vertx;
     private final MonotonicClock clock;
     private final Counters counters;
@@ -83,7 +81,7 @@
     /** New settings, for requests that are read from now on. */
     public void applyConfig(SidecarConfig applied) {
         config = applied;
-        connections.longestDeadline(TICKS_PER_MILLISECOND * applied.longestDeadlineMillis());
+        connections.longestDeadline(MonotonicClock.TICKS_PER_MILLI * applied.longestDeadlineMillis());
         acceptor.applyConfig(applied);
     }
 
--- a/sidecar/src/main/java/trestlegrade/inbound/RequestDeadline.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/RequestDeadline.java
@@ -35,7 +35,7 @@
         long late = Math.max(0, lag.now());
         long reserve = Math.min(Math.max(STALL_RESERVE_TICKS, late), left / LAG_PART);
         return Math.min(
-                shutdown.lastResponseAt() - Math.min(late, left / LAG_PART),
+                shutdown.responsesDueBy() - Math.min(late, left / LAG_PART),
                 clock.now() + left - Math.max(unread, reserve));
     }
 }
--- a/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
@@ -235,7 +235,7 @@
             freeConnection(attempt, outcome);
         }
         if (endpointMayBeDead(attempt, outcome)) {
-            pool.closeSuspect(attempt.endpoint, attempt.sentTicks);
+            pool.closeSuspect(attempt.endpoint, attempt.startedTicks);
         }
         report(attempt, outcome);
     }
--- a/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
@@ -181,9 +181,9 @@
     }
 
     private void lowerReuseAge(PooledConnection connection) {
-        long sentTicks = connection.attempt.sentTicks;
-        if (connection.attemptsCarried > 1 && loop.clock().now() - sentTicks < BROKE_AT_ONCE_TICKS) {
-            reuseAgeBound.brokeAfterIdle(sentTicks - connection.idleSinceTicks);
+        long startedTicks = connection.attempt.startedTicks;
+        if (connection.attemptsCarried > 1 && loop.clock().now() - startedTicks < BROKE_AT_ONCE_TICKS) {
+            reuseAgeBound.brokeAfterIdle(startedTicks - connection.idleSinceTicks);
         }
     }
 
--- a/sidecar/src/main/java/trestlegrade/outbound/OutboundAttempt.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/OutboundAttempt.java
@@ -14,7 +14,7 @@
     public final InboundRequest request;
     public final int number;
     public final Endpoint endpoint;
-    public final long sentTicks;
+    public final long startedTicks;
     /** Once this time has come it must not be written any more. */
     final long writeBeforeTicks;
 
@@ -39,11 +39,11 @@
 
     /** An attempt that has not been written yet; attempts of a request are numbered from 0. */
     public OutboundAttempt(
-            InboundRequest request, int number, Endpoint endpoint, long sentTicks, long writeBeforeTicks) {
+            InboundRequest request, int number, Endpoint endpoint, long startedTicks, long writeBeforeTicks) {
         this.request = request;
         this.number = number;
         this.endpoint = endpoint;
-        this.sentTicks = sentTicks;
+        this.startedTicks = startedTicks;
         this.writeBeforeTicks = writeBeforeTicks;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/AttemptMonitor.java
+++ b/sidecar/src/main/java/trestlegrade/policy/AttemptMonitor.java
@@ -25,7 +25,7 @@
     /** Every second tick of the coarsest system clock in use; half the slack usual for final answers. */
     static final long TICK_INTERVAL = 100;
     /** Ticks that are left out while nothing is open are made up for, up to so many. */
-    private static final double MOST_TICKS_MADE_UP = 20;
+    private static final double MOST_PERIODS_MADE_UP = 20;
 
     private final FleetSummary fleet;
     private final LatencyEstimator latency;
@@ -90,9 +90,9 @@
         silenceDetector.measure(now, transactions.open(), loadShedder.recentMeanTicks(now));
         outlierEjection.ejectSilent(now, silenceDetector.observed());
         silenceDetector.count(now, loadShedder.isJammed());
-        double ticksPassed = Math.min(MOST_TICKS_MADE_UP, (double) Math.max(1, (now - lastTickAt) / TICK_INTERVAL));
-        loadShedder.onTick(now, silenceDetector, ticksPassed);
-        zoneAffinity.onTick(loadShedder.expectedWaitTicks(), loadShedder.leastPermittedWaitTicks(), ticksPassed);
+        double periodsPassed = Math.min(MOST_PERIODS_MADE_UP, (double) Math.max(1, (now - lastTickAt) / TICK_INTERVAL));
+        loadShedder.onTick(now, silenceDetector, periodsPassed);
+        zoneAffinity.onTick(loadShedder.expectedWaitTicks(), loadShedder.leastPermittedWaitTicks(), periodsPassed);
         lastTickAt = now;
         for (int steps = dropRateGrader.takeStepsDue(now); steps > 0; steps--) {
             dropRateGrader.step(now);
--- a/sidecar/src/main/java/trestlegrade/policy/AttemptPlacer.java
+++ b/sidecar/src/main/java/trestlegrade/policy/AttemptPlacer.java
@@ -53,7 +53,7 @@
     }
 
     /** What could not be placed is about to be tried again. */
-    void onRetryWaiting() {
+    void beforeWaitingPlacedAgain() {
         noEndpointThisTick = false;
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
+++ b/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
@@ -25,8 +25,8 @@
  * never go back. Not thread-safe.
  */
 public final class LoadBalancer {
-    /** A call of discovery takes about as long to be made and answered. */
-    private static final long STALE_LIST_RETRY_AFTER = 10_000;
+    /** One second: about what a call of discovery takes. */
+    private static final long STALE_LIST_RETRY_AFTER_TICKS = 10_000;
 
     private static final long NOT_SCHEDULED = 0;
 
@@ -81,7 +81,7 @@
      * The endpoint list, or a change of it.
      *
      * @param complete whether endpoints that are not named have left
-     * @param cached whether the list was kept from an earlier run, and says nothing of discovery now
+     * @param cached whether the list was known before (at the start or a reload), and says nothing of discovery now
      */
     public void onEndpointUpdates(long now, List<EndpointUpdate> updates, boolean complete, boolean cached) {
         if (!cached) {
@@ -117,7 +117,10 @@
         dispatch(now, transaction);
     }
 
-    /** The response of an attempt has begun to flow to the client: the deadline is met. */
+    /**
+     * The response of an attempt has begun to flow to the client: the deadline is met. Only the simulator calls this;
+     * on sockets a response is given whole.
+     */
     public void onStreaming(long id, int attempt) {
         Transaction transaction = transactions.get(id);
         if (transaction != null) {
@@ -128,7 +131,7 @@
     /**
      * An attempt has ended; ignored if it has ended before.
      *
-     * @param answered whether its response is the transaction's final answer
+     * @param answered whether no further answer is owed: this response was it, or the client has left
      */
     public void onAttemptEnded(
             long now, long id, int number, AttemptOutcome outcome, long tookTicks, boolean answered) {
@@ -199,7 +202,7 @@
     }
 
     private void dispatchWaiting(long now) {
-        placer.onRetryWaiting();
+        placer.beforeWaitingPlacedAgain();
         transactions.takeWaiting().forEach(transaction -> dispatch(now, transaction));
     }
 
@@ -226,6 +229,7 @@
     }
 
     private void send(long now, Transaction transaction, Attempt attempt) {
+        // Before addAttempt: an attempt in flight counts as adding work.
         if (transaction.retryAddsWork()) {
             retryBudget.onRetrySent();
         }
@@ -238,7 +242,7 @@
 
     private void waitForEndpoint(long now, Transaction transaction) {
         if (!lease.valid(now)) {
-            closer.reject(transaction, RejectionReason.STALE_LIST, STALE_LIST_RETRY_AFTER);
+            closer.reject(transaction, RejectionReason.STALE_LIST, STALE_LIST_RETRY_AFTER_TICKS);
         } else if (deadlinePolicy.mayWaitForEndpoint(now, transaction)) {
             transactions.addWaiting(transaction);
         } else {
--- a/sidecar/src/main/java/trestlegrade/policy/admission/FairShare.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/FairShare.java
@@ -11,13 +11,13 @@
  * not name are counted together, with a quota of 0. Times are ticks of 0.1 ms.
  */
 public final class FairShare {
-    private static final long SPAN = 50_000;
+    private static final long SPAN_TICKS = 50_000;
     private static final int BUCKETS = 5;
     /** Chance alone takes a customer a little over its quota. */
     private static final double TOLERANCE = 1.1;
 
     private final List<Customer> customers;
-    private final SlidingWindowSum arrivals = new SlidingWindowSum(SPAN, BUCKETS);
+    private final SlidingWindowSum arrivals = new SlidingWindowSum(SPAN_TICKS, BUCKETS);
     private final SlidingWindowSum[] customerArrivals;
 
     /** Begins with no arrivals. */
@@ -25,7 +25,7 @@
         customers = settings.customers();
         customerArrivals = new SlidingWindowSum[customers.size() + 1];
         for (int i = 0; i < customerArrivals.length; i++) {
-            customerArrivals[i] = new SlidingWindowSum(SPAN, BUCKETS);
+            customerArrivals[i] = new SlidingWindowSum(SPAN_TICKS, BUCKETS);
         }
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
@@ -10,10 +10,10 @@
 import trestlegrade.policy.settings.PolicySettings.Profile;
 
 /**
- * Sheds load when the expected wait spoils the latency objective (call dropping in D2). Estimates at each tick how long
- * an attempt takes now, queueing included; each profile has a call drop rate, which rises while that exceeds what the
- * profile permits, and falls else. Profiles of more revenue permit more. Only endpoints that are warm and not ejected
- * count. Times are ticks of 0.1 ms.
+ * Sheds load when the expected wait exceeds the permitted part of the latency objective (call dropping in D2).
+ * Estimates at each tick how long an attempt takes now, queueing included; each profile has a call drop rate, which
+ * rises while that exceeds what the profile permits, and falls else. Profiles of more revenue permit more. Only
+ * endpoints that are warm and not ejected count. Times are ticks of 0.1 ms.
  */
 public final class LoadShedder {
     /** Of the mean latency objective, the wait that the profile of the least revenue permits. */
@@ -29,7 +29,7 @@
     /** Fewer commits than this tell a jam from chance no better than by a third. */
     private static final int FEWEST_COMMITS = 10;
 
-    private static final long SPAN = 10_000;
+    private static final long SPAN_TICKS = 10_000;
     private static final int MOST_SPANS = 5;
     private static final int BUCKETS = 50;
     private static final long NEVER = -1;
@@ -37,9 +37,9 @@
     private final LatencyEstimator latency;
     private final FairShare fairShare;
     private final SeededRandom random;
-    private final SlidingWindow commits = new SlidingWindow(MOST_SPANS * SPAN, BUCKETS);
+    private final SlidingWindow commits = new SlidingWindow(MOST_SPANS * SPAN_TICKS, BUCKETS);
     /** Attempts that waited and brought nothing: timed out or cancelled. */
-    private final SlidingWindow fruitless = new SlidingWindow(MOST_SPANS * SPAN, BUCKETS);
+    private final SlidingWindow fruitless = new SlidingWindow(MOST_SPANS * SPAN_TICKS, BUCKETS);
 
     private final double[] permittedPart;
     private final double[] callDropRate;
@@ -102,9 +102,10 @@
     /**
      * Estimates the wait and moves the call drop rates.
      *
-     * @param ticksPassed ticks since the last call; those that were left out ease the rates, but never raise them
+     * @param periodsPassed periods of 10 ms since the last call; those that were left out ease the rates, but never
+     *     raise them
      */
-    public void onTick(long now, InFlightSummary inFlight, double ticksPassed) {
+    public void onTick(long now, InFlightSummary inFlight, double periodsPassed) {
         expectedWait = expectedWait(now, inFlight);
         waitOverObjective = expectedWait / latency.meanObjectiveTicks();
         for (int i = 0; i < callDropRate.length; i++) {
@@ -112,16 +113,16 @@
             double step = STEP
                     * (expectedWait > permittedWait(permittedPart[i])
                             ? Math.min(1, excess)
-                            : ticksPassed * Math.max(-1, excess));
+                            : periodsPassed * Math.max(-1, excess));
             callDropRate[i] = Math.max(0, Math.min(1, callDropRate[i] + step));
         }
     }
 
     private double expectedWait(long now, InFlightSummary inFlight) {
         // The latest second, or as many seconds as it takes to see enough commits.
-        long span = SPAN;
-        while (span < MOST_SPANS * SPAN && commits.count(now, span) < FEWEST_COMMITS) {
-            span += SPAN;
+        long span = SPAN_TICKS;
+        while (span < MOST_SPANS * SPAN_TICKS && commits.count(now, span) < FEWEST_COMMITS) {
+            span += SPAN_TICKS;
         }
         double committed = commits.count(now, span);
         // While twice as many commit, fruitless attempts tell of silent endpoints, not of a wait.
@@ -167,12 +168,15 @@
         return waitOverObjective;
     }
 
-    /** How long attempts that ended in the latest second took, each counted up to three times its expected time. */
+    /**
+     * Time of attempts that ended in the latest second, for each commit; each counts for three times its expected time
+     * at most. In a jam that of fruitless ones is added, so it is over their mean.
+     */
     public double recentMeanTicks(long now) {
-        return waited(now, SPAN) / Math.max(1, commits.count(now, SPAN));
+        return waited(now, SPAN_TICKS) / Math.max(1, commits.count(now, SPAN_TICKS));
     }
 
-    /** Whether most attempts time out at all endpoints alike, as of the latest tick. */
+    /** Whether fruitless and suspect attempts together exceed half the commits, as of the latest periodic call. */
     public boolean isJammed() {
         return jammed;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/admission/SlowStartBudget.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/SlowStartBudget.java
@@ -15,11 +15,11 @@
  * {@link LatencyEstimator#work}; times are ticks of 0.1 ms.
  */
 public final class SlowStartBudget {
-    private static final long SPAN = 100_000;
+    private static final long SPAN_TICKS = 100_000;
     private static final int BUCKETS = 10;
     /** Of what the rule allows if every sidecar sends its part: capacity and costs are estimates. */
     private static final double SAFETY_MARGIN = 0.5;
-    /** An endpoint that commits this many times less than a warm one is still picked as often as it can commit. */
+    /** The chance of the ramp is at least this many times what the endpoint committed over what a warm one does. */
     private static final double PROVEN_GROWTH = 2;
 
     private final PolicySettings settings;
@@ -27,7 +27,7 @@
     private final LatencyEstimator latency;
     private final SeededRandom random;
     /** Work committed by warm endpoints, for each unit of their weight at that time. */
-    private final SlidingWindowSum workPerWeight = new SlidingWindowSum(SPAN, BUCKETS);
+    private final SlidingWindowSum workPerWeight = new SlidingWindowSum(SPAN_TICKS, BUCKETS);
 
     /** Reads the fleet and the estimates; draws from the random source in {@link #admits}. */
     public SlowStartBudget(PolicySettings settings, FleetSummary fleet, LatencyEstimator latency, SeededRandom random) {
@@ -57,7 +57,7 @@
         if (fraction >= 1) {
             return true;
         }
-        double rate = workPerWeight.total(now) / SPAN;
+        double rate = workPerWeight.total(now) / SPAN_TICKS;
         double warmWork = Math.max(1e-9, endpoint.weight() * settings.crashTicks() * rate);
         double proven = endpoint.slowStart().committedWork(now);
         if (ramp && random.next() > Math.max(fraction, PROVEN_GROWTH * proven / warmWork)) {
@@ -65,15 +65,19 @@
         }
         double capacity = Math.max(fraction * warmWork, proven);
         double budget = SAFETY_MARGIN * settings.crashMultiple() * capacity;
-        return endpoint.slowStart().sentWork(now) + work(transaction) <= budget || isIdle(now, endpoint);
+        return endpoint.slowStart().sentWork(now) + work(transaction) <= budget
+                || mayTakeOccasionalAttempt(now, endpoint);
     }
 
     private double work(Transaction transaction) {
         return latency.work(transaction.profile(), transaction.costHint());
     }
 
-    /** However little is known, an attempt now and then: at most one core's cold share if all sidecars do the same. */
-    private boolean isIdle(long now, Endpoint endpoint) {
+    /**
+     * Nothing was sent to it for so long that one attempt is allowed whatever the budget says: a fleet that starts as a
+     * whole knows nothing of any endpoint. At most one core's share at the start if all sidecars do the same.
+     */
+    private boolean mayTakeOccasionalAttempt(long now, Endpoint endpoint) {
         long apart = (long) (fleet.sidecarsPerEndpoint()
                 * latency.lowestMeanTicks()
                 / (settings.slowStartInitialFraction() * settings.crashMultiple()));
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/EjectionState.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/EjectionState.java
@@ -1,12 +1,12 @@
 package trestlegrade.policy.endpoint;
 
 /**
- * Whether one endpoint is ejected, and how its half-open probes go: an ejected endpoint gets nothing but probes, the
- * wait before the next doubles with each that fails, and it is taken back after so many successes. Ticks of 0.1 ms.
+ * Whether one endpoint is ejected, and how its half-open probes go: an ejected endpoint gets probes, the wait before
+ * the next doubles with each that fails, and it is taken back after so many successes. Ticks of 0.1 ms.
  */
 public final class EjectionState {
-    private static final long FIRST_PROBE_DELAY = 5_000;
-    private static final long LONGEST_PROBE_DELAY = 80_000;
+    private static final long FIRST_PROBE_DELAY_TICKS = 5_000;
+    private static final long LONGEST_PROBE_DELAY_TICKS = 80_000;
 
     private boolean ejected;
     private long probeAt;
@@ -16,7 +16,7 @@
 
     void onRestart() {
         ejected = false;
-        probeDelay = FIRST_PROBE_DELAY;
+        probeDelay = FIRST_PROBE_DELAY_TICKS;
     }
 
     /** Ejects the endpoint until so many attempts there have succeeded. */
@@ -28,7 +28,7 @@
 
     /** A probe failed: the next one waits twice as long. */
     public void onProbeFailed(long now) {
-        probeDelay = Math.min(LONGEST_PROBE_DELAY, 2 * probeDelay);
+        probeDelay = Math.min(LONGEST_PROBE_DELAY_TICKS, 2 * probeDelay);
         probeAt = now + probeDelay;
     }
 
@@ -40,7 +40,7 @@
             return false;
         }
         ejected = false;
-        probeDelay = FIRST_PROBE_DELAY;
+        probeDelay = FIRST_PROBE_DELAY_TICKS;
         return true;
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/estimate/LatencyEstimator.java
+++ b/sidecar/src/main/java/trestlegrade/policy/estimate/LatencyEstimator.java
@@ -7,8 +7,8 @@
  * (attempts that committed or timed out). Times are ticks of 0.1 ms.
  */
 public final class LatencyEstimator {
-    /** Until the first answers, an attempt is expected to take this part of the latency objective. */
-    private static final double INITIAL_PART_OF_OBJECTIVE = 4.0;
+    /** Until the first answers, an attempt is expected to take the latency objective over this. */
+    private static final double INITIAL_OBJECTIVE_DIVISOR = 4.0;
 
     /** The step of a moving mean: it goes by about the latest fifty answers. */
     private static final double STEP = 0.02;
@@ -40,7 +40,7 @@
         profileAnswers = new int[profiles];
         for (int i = 0; i < profiles; i++) {
             long objective = settings.profiles().get(i).latencyObjectiveTicks();
-            profileLatency[i] = objective / INITIAL_PART_OF_OBJECTIVE;
+            profileLatency[i] = objective / INITIAL_OBJECTIVE_DIVISOR;
             meanLatency += profileLatency[i] / profiles;
             meanObjective += (double) objective / profiles;
         }
--- a/sidecar/src/main/java/trestlegrade/policy/health/DropRateGrader.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/DropRateGrader.java
@@ -10,13 +10,13 @@
 import trestlegrade.policy.estimate.SlidingWindowSum;
 
 /**
- * The design (D2's degrader): grades each endpoint by its latency and its failures against the others, and moves its
- * drop rate, which shrinks its points on the ring. The step is five times smaller than the design's and made five times
- * as often: 0.2 in 5 s at the most. An endpoint with few answers is graded partly by what its instance type shows,
+ * The design (D2's degrader): grades each endpoint by its latency against the others' and by its failures (over a tenth
+ * of its calls), and moves its drop rate, which shrinks its points on the ring. The step is 0.05 a second: the design's
+ * largest, 0.25 in 5 s, in five parts. An endpoint with few answers is graded partly by what its instance type shows,
  * since a sidecar with little traffic never sees enough of one endpoint. Times are ticks of 0.1 ms.
  */
 public final class DropRateGrader {
-    private static final long STEP_INTERVAL = 10_000;
+    private static final long STEP_INTERVAL_TICKS = 10_000;
     /** After idle time all steps left out are made up for; twenty take any drop rate from 1 to 0. */
     private static final int MOST_STEPS = 20;
 
@@ -28,7 +28,7 @@
     /** The design's least number of calls. */
     private static final int FEWEST_CALLS = 5;
     /** The design's interval, where that brings enough answers from each endpoint; else a multiple of it. */
-    private static final long SPAN = 50_000;
+    private static final long SPAN_TICKS = 50_000;
 
     private static final int ANSWER_BUCKETS = 25;
 
@@ -36,7 +36,7 @@
     private final FleetSummary fleet;
     private final SlidingWindowSum answers = new SlidingWindowSum(CallStatistics.LONGEST_SPAN, ANSWER_BUCKETS);
     private long nextStepAt;
-    private long span = SPAN;
+    private long span = SPAN_TICKS;
 
     /** Changes the drop rates of these endpoints; reads the summary. */
     public DropRateGrader(EndpointTable endpoints, FleetSummary fleet) {
@@ -46,7 +46,7 @@
 
     /** Begins; the first step is due an interval later. */
     public void start(long now) {
-        nextStepAt = now + STEP_INTERVAL;
+        nextStepAt = now + STEP_INTERVAL_TICKS;
     }
 
     /** Any endpoint has answered, or let an attempt time out. */
@@ -56,9 +56,9 @@
 
     /** How many steps are due; they are taken off the schedule. */
     public int takeStepsDue(long now) {
-        nextStepAt = Math.max(nextStepAt, now - MOST_STEPS * STEP_INTERVAL);
+        nextStepAt = Math.max(nextStepAt, now - MOST_STEPS * STEP_INTERVAL_TICKS);
         int due = 0;
-        for (; now >= nextStepAt; nextStepAt += STEP_INTERVAL) {
+        for (; now >= nextStepAt; nextStepAt += STEP_INTERVAL_TICKS) {
             due++;
         }
         return due;
@@ -66,9 +66,9 @@
 
     /** Moves each endpoint's drop rate by one step. */
     public void step(long now) {
-        span = SPAN;
+        span = SPAN_TICKS;
         while (span < CallStatistics.LONGEST_SPAN && answers.total(now, span) < FEWEST_CALLS * fleet.inUse()) {
-            span += SPAN;
+            span += SPAN_TICKS;
         }
         double fleetMean = collect(now);
         double median = medianSlowness(fleetMean);
--- a/sidecar/src/main/java/trestlegrade/policy/health/OutlierEjection.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/OutlierEjection.java
@@ -10,8 +10,8 @@
 
 /**
  * Ejects at once an endpoint that falls silent, takes no connections or fails in a row: the drop rate would take
- * seconds. An ejected endpoint gets only half-open probes ({@link HalfOpenProbes}) and is taken back after as many
- * successes as its fault asks for.
+ * seconds. An ejected endpoint gets half-open probes ({@link HalfOpenProbes}), and ordinary attempts only where no
+ * other endpoint may take them; it is taken back after as many successes of either as its fault asks for.
  */
 public final class OutlierEjection {
     /** Failures in a row, or within two fifths of the graded span, that eject. */
--- a/sidecar/src/main/java/trestlegrade/policy/lease/EndpointListLease.java
+++ b/sidecar/src/main/java/trestlegrade/policy/lease/EndpointListLease.java
@@ -6,7 +6,8 @@
  * <p>Guards against sending to an endpoint that drains or has left. While discovery is silent, an endpoint may drain
  * without this sidecar being notified, and counts as notified a fixed time later all the same. Each message of
  * discovery renews the lease; without one it expires by itself, before the grace of an endpoint that began to drain
- * unnoticed can end. How often discovery is polled, and why a call of it fails, plays no part.
+ * unnoticed can end. How often discovery is polled plays no part. Of failed calls only a refused connection renews it
+ * ({@link #discoveryUnreachable}): while nothing listens there, no change can count as notified.
  *
  * <p>A draining endpoint rejects new requests, so one that served a request was not draining when that was sent. From
  * then on each endpoint has a lease of its own, which lets a sidecar do without discovery as long as endpoints serve.
--- a/sidecar/src/main/java/trestlegrade/policy/request/AttemptOutcome.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/AttemptOutcome.java
@@ -2,17 +2,21 @@
 
 /** How an attempt ended, and whether that proves that the endpoint never ran the transaction. */
 public enum AttemptOutcome {
+    /** Status 200. */
     COMMITTED(false),
+    /** Any other complete response. */
     ERROR(false),
-    /** The endpoint rejected it unprocessed. */
+    /** 503 or 504 with X-Never-Ran: 1: the endpoint rejected it unprocessed. */
     REJECTED(true),
+    /** No complete response in time; it was written. */
     TIMED_OUT(false),
+    /** The connection failed, timed out or broke before the last byte was written. */
     NO_CONNECTION(true),
     /** The connection broke before the response was complete. */
     BROKEN(false),
     /** Cancelled by this sidecar. */
     CANCELLED(false),
-    /** Never written: the connection came too late. */
+    /** Given up by this sidecar before it was written: client gone, no descriptor, endpoint draining, lease over. */
     NOT_SENT(true);
 
     private final boolean neverRan;
--- a/sidecar/src/main/java/trestlegrade/policy/retry/DeadlinePolicy.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/DeadlinePolicy.java
@@ -11,8 +11,11 @@
  * how long one waits for an endpoint, and which attempts are lost. Times are ticks of 0.1 ms.
  */
 public final class DeadlinePolicy {
-    /** With no endpoint to send to, this part of the latency objective is waited: the rest is left for the work. */
-    private static final int WAIT_PART = 4;
+    /**
+     * With no endpoint to send to, one part in so many of the latency objective is waited: the rest is left for the
+     * work.
+     */
+    private static final int WAIT_DIVISOR = 4;
 
     private final PolicySettings settings;
     private final LatencyEstimator latency;
@@ -53,7 +56,7 @@
     /** Whether a transaction for which there is no endpoint may wait for one: none that was sent before does. */
     public boolean mayWaitForEndpoint(long now, Transaction transaction) {
         long objective = settings.profiles().get(transaction.profile()).latencyObjectiveTicks();
-        long longest = Math.min(objective, transaction.deadline() - transaction.arrivedAt()) / WAIT_PART;
+        long longest = Math.min(objective, transaction.deadline() - transaction.arrivedAt()) / WAIT_DIVISOR;
         return !transaction.hasAttempts() && now - transaction.arrivedAt() < longest;
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
@@ -18,7 +18,7 @@
  */
 public final class RetryPolicy {
     /** A resend travels and may wait for a connection: a tenth of a second of the window is left for that. */
-    private static final long WINDOW_MARGIN = 1_000;
+    private static final long WINDOW_MARGIN_TICKS = 1_000;
 
     private final PolicySettings settings;
 
@@ -40,7 +40,7 @@
             return true;
         }
         return profile.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                && now - first.sentAt() < profile.deduplicationWindowTicks() - WINDOW_MARGIN
+                && now - first.sentAt() < profile.deduplicationWindowTicks() - WINDOW_MARGIN_TICKS
                 && shareJournal(profile.deduplicationScope(), first.endpoint(), endpoint);
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/selection/EndpointSelector.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/EndpointSelector.java
@@ -119,6 +119,7 @@
             }
             askedInWalk[endpoint.index()] = walk;
             left--;
+            // The ramp holds in the passes that need health; later passes are bound by the budget alone.
             if (meets(now, transaction, endpoint, pass)
                     && slowStartBudget.admits(now, transaction, endpoint, pass.needsHealth())) {
                 return endpoint;
--- a/sidecar/src/main/java/trestlegrade/policy/selection/SelectionPass.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/SelectionPass.java
@@ -14,7 +14,7 @@
     LOCAL,
     /** Endpoints that are not ejected and have not been tried for this transaction. */
     NOT_EJECTED,
-    /** Any. */
+    /** Any that the rules allow: ejected ones and those already tried, too. */
     ANY;
 
     /** In the order in which they are made; kept, since values() copies. */
--- a/sidecar/src/main/java/trestlegrade/policy/selection/ZoneAffinity.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/ZoneAffinity.java
@@ -32,14 +32,15 @@
     /**
      * Moves the part of the picks that may cross.
      *
-     * @param ticksPassed ticks since the last call; those that were left out bring picks back, but send none away
+     * @param periodsPassed periods of 10 ms since the last call; those that were left out bring picks back, but send
+     *     none away
      */
-    public void onTick(double expectedWaitTicks, double leastPermittedWaitTicks, double ticksPassed) {
+    public void onTick(double expectedWaitTicks, double leastPermittedWaitTicks, double periodsPassed) {
         if (!crossingCosts) {
             return;
         }
         boolean overloaded = expectedWaitTicks > OVERLOAD_WAIT * leastPermittedWaitTicks;
-        double step = overloaded ? STEP : -STEP * ticksPassed;
+        double step = overloaded ? STEP : -STEP * periodsPassed;
         crossZonePart = Math.max(0, Math.min(1, crossZonePart + step));
     }
 
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
@@ -54,7 +54,9 @@
             try {
                 event.run();
             } catch (RuntimeException e) {
-                // A faulty event must not keep the others from running: each open transaction still has its timer.
+                // A faulty event must not keep the others from running. A fault within onTick ends the ticks of its
+                // generation
+                // until its next arrival.
                 faultHandler.accept(e);
             }
         }
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -20,7 +20,7 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * The one task that owns the decisions and the open transactions.
+ * Owns the decisions and the open transactions; all calls of the decisions are made on the event loop.
  *
  * <p>Socket code reports what happened; each report becomes an event of a {@link PolicyEventQueue}, is passed to the
  * {@link LoadBalancer} of the transaction's {@link PolicyGeneration}, and the actions that this asks for are carried
@@ -155,7 +155,7 @@
                             request.id,
                             attempt.number,
                             outcome,
-                            loop.clock().now() - attempt.sentTicks,
+                            loop.clock().now() - attempt.startedTicks,
                             request.over());
             forgetIfOver(request);
         });
@@ -169,7 +169,7 @@
                         attempt.responseBody,
                         counters)
                 .onComplete(written -> attempt.responseMemory.release());
-        counters.recordAttemptDuration(loop.clock().now() - attempt.sentTicks);
+        counters.recordAttemptDuration(loop.clock().now() - attempt.startedTicks);
     }
 
     /**
@@ -255,8 +255,7 @@
 
     /**
      * Forgets a request that has its answer and no attempt in flight. Called wherever an answer is given or an attempt
-     * ends, for either may come last: a request rejected from a timer, with no call here, would stay with its body for
-     * the life of the process.
+     * ends, for either may come last; a missed call would leak the request and its body.
      */
     private void forgetIfOver(InboundRequest request) {
         if (!request.over() || request.out > 0) {
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -181,7 +181,10 @@
                 : config.zones().get(config.policySettings().zone());
     }
 
-    /** SIGTERM: serves what was taken, then ends. The callback runs once everything is answered or time is up. */
+    /**
+     * SIGTERM: goes on serving as the phases of the graceful shutdown say; the callback runs when the program is to
+     * end.
+     */
     void drain(Runnable drained) {
         int open = policyExecutor.openTransactions();
         log.add(() -> Logger.info("serve code=draining open={}", open));
--- a/sidecar/src/main/java/trestlegrade/runtime/SidecarProcess.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/SidecarProcess.java
@@ -62,7 +62,8 @@
     }
 
     /**
-     * SIGTERM: waits until all that was taken is answered, at the latest just before the operators kill the process.
+     * SIGTERM: goes on serving through the phases of the graceful shutdown, until just before the operators kill the
+     * process at the latest.
      */
     private void shutDown(Context context) {
         if (startFailed.getCount() == 0) {
--- a/sidecar/src/test/java/trestlegrade/ArchitectureTest.java
+++ b/sidecar/src/test/java/trestlegrade/ArchitectureTest.java
@@ -85,4 +85,19 @@
             .should()
             .dependOnClassesThat()
             .resideInAPackage("trestlegrade.simulator..");
+
+    @ArchTest
+    static final ArchRule THE_EVENT_LOOP_KNOWS_NEITHER_SIDE = noClasses()
+            .that()
+            .resideInAPackage("trestlegrade.eventloop..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                    "trestlegrade.policy..",
+                    "trestlegrade.config..",
+                    "trestlegrade.inbound..",
+                    "trestlegrade.outbound..",
+                    "trestlegrade.discovery..",
+                    "trestlegrade.runtime..",
+                    "trestlegrade.simulator..");
 }
