--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointRegistry.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointRegistry.java
@@ -157,7 +157,7 @@
 
     private static boolean isOutdated(Endpoint endpoint, SocketAddress address, EndpointUpdate update) {
         return update.state() != EndpointUpdate.State.READY
-                || update.launched() != endpoint.launchedTicks
+                || update.launchedAt() != endpoint.launchedTicks
                 || !address.equals(endpoint.address);
     }
 
@@ -213,7 +213,7 @@
             return;
         }
         boolean draining = state == EndpointUpdate.State.DRAINING;
-        known.update = draining ? known.update.draining() : known.update;
+        known.update = draining ? known.update.asDraining() : known.update;
         updates.add(known.update);
         if (draining && known.active) {
             stop(known);
--- a/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
@@ -45,7 +45,7 @@
         boolean first = backoff == null;
         backoff = new DiscoveryBackoff(settings, seed);
         if (first && !pushed) {
-            openNotBefore = clock.now() + backoff.beforeFirstCall();
+            openNotBefore = clock.now() + backoff.delayBeforeFirstCall();
         }
         minIntervalTicks = Math.min(MIN_INTERVAL_TICKS, settings.maxPollIntervalTicks() / 4);
     }
@@ -70,7 +70,7 @@
 
     /** Draws this sidecar's delay within what is spread over the fleet before a silent watch is replaced. */
     long replacementJitterTicks() {
-        return backoff.beforeReplacement();
+        return backoff.delayBeforeReplacement();
     }
 
     void messageReceived() {
@@ -79,7 +79,7 @@
 
     /** The address has changed, for the whole fleet at once. */
     void moved() {
-        openNotBefore = clock.now() + backoff.beforeReplacement();
+        openNotBefore = clock.now() + backoff.delayBeforeReplacement();
     }
 
     /** The last watch on an agent has ended. */
--- a/sidecar/src/main/java/trestlegrade/policy/AttemptMonitor.java
+++ b/sidecar/src/main/java/trestlegrade/policy/AttemptMonitor.java
@@ -79,22 +79,22 @@
             slowStartBudget.onCommitted(now, endpoint, transaction);
         }
         if (outcome == AttemptOutcome.COMMITTED || outcome == AttemptOutcome.TIMED_OUT) {
-            dropRateGrader.onAnswer(now);
-            latency.onAnswer(transaction.profile(), transaction.costHint(), tookTicks);
+            dropRateGrader.onLatencySample(now);
+            latency.onLatencySample(transaction.profile(), transaction.costHint(), tookTicks);
         }
-        outlierEjection.onAttemptEnded(now, attempt, dropRateGrader.recentSpan());
+        outlierEjection.onAttemptEnded(now, attempt, dropRateGrader.failureSpanTicks());
     }
 
     /** Silence first, since it tells which endpoints the wait is measured on; grades last. */
     void onTick(long now, TransactionTable transactions) {
-        silenceDetector.measure(now, transactions.open(), loadShedder.recentMeanTicks(now));
-        outlierEjection.ejectSilent(now, silenceDetector.observed());
-        silenceDetector.count(now, loadShedder.isJammed());
+        silenceDetector.measure(now, transactions.open(), loadShedder.recentTicksPerCommit(now));
+        outlierEjection.ejectSilent(now, silenceDetector.endpointsWithAttempts());
+        silenceDetector.countInFlight(now, loadShedder.isCongested());
         double periodsPassed = Math.min(MOST_PERIODS_MADE_UP, (double) Math.max(1, (now - lastTickAt) / TICK_INTERVAL));
         loadShedder.onTick(now, silenceDetector, periodsPassed);
-        zoneAffinity.onTick(loadShedder.expectedWaitTicks(), loadShedder.leastPermittedWaitTicks(), periodsPassed);
+        zoneAffinity.onTick(loadShedder.expectedWaitTicks(), loadShedder.minPermittedWaitTicks(), periodsPassed);
         lastTickAt = now;
-        for (int steps = dropRateGrader.takeStepsDue(now); steps > 0; steps--) {
+        for (int steps = dropRateGrader.takeDueSteps(now); steps > 0; steps--) {
             dropRateGrader.step(now);
             latency.onGradingStep();
             fleet.onHealthChanged(now);
--- a/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
+++ b/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
@@ -85,7 +85,7 @@
      */
     public void onEndpointUpdates(long now, List<EndpointUpdate> updates, boolean complete, boolean cached) {
         if (!cached) {
-            discoveryBackoff.succeeded();
+            discoveryBackoff.onSuccess();
         }
         endpoints.apply(now, updates, complete);
         placer.onEndpointUpdates();
@@ -94,7 +94,7 @@
 
     /** A call for the list failed, or the subscription ended: it is made again after a backoff. */
     public void onEndpointListFailed(long now) {
-        subscribeAt = now + discoveryBackoff.afterFailure();
+        subscribeAt = now + discoveryBackoff.delayAfterFailure();
         scheduleTick();
     }
 
@@ -236,7 +236,7 @@
         transaction.addAttempt(attempt);
         monitor.onSent(now, transaction, attempt);
         Endpoint endpoint = attempt.endpoint();
-        long writeBefore = lease.end(endpoint.serviceProof().servedAt());
+        long writeBefore = lease.end(endpoint.servingState().servedAt());
         actions.send(transaction.id(), endpoint.id(), transaction.deadline() - now, writeBefore);
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/TransactionCloser.java
+++ b/sidecar/src/main/java/trestlegrade/policy/TransactionCloser.java
@@ -72,7 +72,7 @@
     private void cancelIfLost(long now, Transaction transaction) {
         if (transaction.attemptsInFlight() > 0
                 && !transaction.isStreaming()
-                && deadlinePolicy.isLost(now, transaction)) {
+                && deadlinePolicy.shouldCancelAndRetry(now, transaction)) {
             cancelLastAttempt(transaction);
         }
     }
--- a/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
@@ -154,7 +154,7 @@
     }
 
     /** The wait that every profile permits. */
-    public double leastPermittedWaitTicks() {
+    public double minPermittedWaitTicks() {
         return permittedWait(LEAST_PERMITTED_PART);
     }
 
@@ -172,12 +172,12 @@
      * Time of attempts that ended in the latest second, for each commit; each counts for three times its expected time
      * at most. In a jam that of fruitless ones is added, so it is over their mean.
      */
-    public double recentMeanTicks(long now) {
+    public double recentTicksPerCommit(long now) {
         return waited(now, SPAN_TICKS) / Math.max(1, commits.count(now, SPAN_TICKS));
     }
 
     /** Whether fruitless and suspect attempts together exceed half the commits, as of the latest periodic call. */
-    public boolean isJammed() {
+    public boolean isCongested() {
         return jammed;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/Endpoint.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/Endpoint.java
@@ -19,7 +19,7 @@
     private final DropRate dropRate = new DropRate();
     private final SilenceState silence = new SilenceState();
     private final EjectionState ejection = new EjectionState();
-    private final ServiceProof serviceProof = new ServiceProof();
+    private final ServingState servingState = new ServingState();
     private final DecayingValue reportedLoad = new DecayingValue(REPORTED_LOAD_HALF_LIFE);
 
     private int zone;
@@ -51,7 +51,7 @@
         zone = update.zone();
         type = newType;
         cell = update.cell();
-        slowStart.onUpdate(update.launched());
+        slowStart.onUpdate(update.launchedAt());
         listedWeight = weighted && update.weight() > 0 ? update.weight() : 1;
         weight = listedWeight;
         type.onListedWeight(listedWeight);
@@ -80,7 +80,7 @@
         calls.onRestart(now);
         slowStart.onRestart(now, launchedAt);
         ejection.onRestart();
-        serviceProof.onRestart();
+        servingState.onRestart();
         reportedLoad.set(now, 0);
     }
 
@@ -100,7 +100,7 @@
         if (attempt.isProbe()) {
             ejection.onProbeEnded();
         }
-        serviceProof.onAttemptEnded(now, attempt.sentAt(), attempt.outcome());
+        servingState.onAttemptEnded(now, attempt.sentAt(), attempt.outcome());
     }
 
     /** An attempt at it succeeded while it was ejected; returns whether it is taken back with that. */
@@ -227,7 +227,7 @@
     }
 
     /** What is proven of whether it takes new requests. */
-    public ServiceProof serviceProof() {
-        return serviceProof;
+    public ServingState servingState() {
+        return servingState;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/EndpointTable.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/EndpointTable.java
@@ -43,8 +43,8 @@
             return;
         }
         Endpoint endpoint = known == null ? add(update.id()) : known;
-        if (known == null || update.launched() > endpoint.slowStart().launchedAt()) {
-            endpoint.onRestart(now, update.launched(), meanDropRate());
+        if (known == null || update.launchedAt() > endpoint.slowStart().launchedAt()) {
+            endpoint.onRestart(now, update.launchedAt(), meanDropRate());
         }
         endpoint.applyUpdate(update, type(update.kind()), settings.weights() != PolicySettings.Weights.NONE);
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/ServiceProof.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/ServingState.java
@@ -7,7 +7,7 @@
  * What attempts prove of whether one endpoint takes new requests (rule 3). A draining endpoint rejects what is new, so
  * one that served a request was not draining when that was sent.
  */
-public final class ServiceProof {
+public final class ServingState {
     private long servedAt = EndpointListLease.NEVER;
     private long rejectedAt = EndpointListLease.NEVER;
 
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/SlowStart.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/SlowStart.java
@@ -15,7 +15,7 @@
     private final SlidingWindowSum sentWork;
     private final SlidingWindowSum committedWork;
     private long launchedAt;
-    private long since;
+    private long warmUpStartedAt;
     private long lastSentAt;
 
     SlowStart(PolicySettings settings) {
@@ -34,12 +34,12 @@
     /** The list tells wall-clock time, and the clock here may have stepped back: none starts in the future. */
     void onRestart(long now, long newLaunchedAt) {
         committedWork.clear();
-        since = Math.min(now, newLaunchedAt);
+        warmUpStartedAt = Math.min(now, newLaunchedAt);
     }
 
     /** The endpoint's share of its full capacity at the least; 1 once it is warm. */
     public double fraction(long now) {
-        long age = now - since;
+        long age = now - warmUpStartedAt;
         if (launchedAt == 0 || age >= warmUpTicks) {
             return 1;
         }
@@ -78,7 +78,7 @@
     }
 
     /** When its warm-up began, by the clock here. */
-    public long since() {
-        return since;
+    public long warmUpStartedAt() {
+        return warmUpStartedAt;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/estimate/LatencyEstimator.java
+++ b/sidecar/src/main/java/trestlegrade/policy/estimate/LatencyEstimator.java
@@ -48,7 +48,7 @@
     }
 
     /** An attempt committed or timed out after the time given; {@code costHint} is 0 without a hint. */
-    public void onAnswer(int profile, long costHint, long tookTicks) {
+    public void onLatencySample(int profile, long costHint, long tookTicks) {
         profileAnswers[profile]++;
         // A plain mean at first: else the initial guess, or the first cost hint, would stand for long.
         double step = Math.max(STEP, 1.0 / profileAnswers[profile]);
--- a/sidecar/src/main/java/trestlegrade/policy/health/DropRateGrader.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/DropRateGrader.java
@@ -50,12 +50,12 @@
     }
 
     /** Any endpoint has answered, or let an attempt time out. */
-    public void onAnswer(long now) {
+    public void onLatencySample(long now) {
         answers.add(now, 1);
     }
 
     /** How many steps are due; they are taken off the schedule. */
-    public int takeStepsDue(long now) {
+    public int takeDueSteps(long now) {
         nextStepAt = Math.max(nextStepAt, now - MOST_STEPS * STEP_INTERVAL_TICKS);
         int due = 0;
         for (; now >= nextStepAt; nextStepAt += STEP_INTERVAL_TICKS) {
@@ -115,7 +115,7 @@
     }
 
     /** Two fifths of the graded span, which is 2 s with enough traffic: within it failures count together. */
-    public long recentSpan() {
+    public long failureSpanTicks() {
         return span * 2 / 5;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/health/OutlierEjection.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/OutlierEjection.java
@@ -46,9 +46,9 @@
     /**
      * An attempt has ended by itself: ejects its endpoint, or takes it back.
      *
-     * @param recentSpan the span within which failures count together
+     * @param failureSpanTicks the span within which failures count together
      */
-    public void onAttemptEnded(long now, Attempt attempt, long recentSpan) {
+    public void onAttemptEnded(long now, Attempt attempt, long failureSpanTicks) {
         Endpoint endpoint = attempt.endpoint();
         boolean failed = attempt.outcome() != AttemptOutcome.COMMITTED;
         if (endpoint.ejection().isEjected()) {
@@ -56,7 +56,7 @@
             return;
         }
         boolean unconnected = attempt.outcome() == AttemptOutcome.NO_CONNECTION;
-        if (failed && (isUnreachable(endpoint, unconnected) || isFailing(now, endpoint.calls(), recentSpan))) {
+        if (failed && (isUnreachable(endpoint, unconnected) || isFailing(now, endpoint.calls(), failureSpanTicks))) {
             eject(now, endpoint, unconnected ? SUCCESSES_AFTER_SILENCE : SUCCESSES_AFTER_FAILURES);
         }
     }
@@ -65,12 +65,12 @@
         return unconnected && endpoint.calls().consecutiveFailures() >= FAILED_CONNECTIONS;
     }
 
-    private static boolean isFailing(long now, CallStatistics calls, long recentSpan) {
+    private static boolean isFailing(long now, CallStatistics calls, long failureSpanTicks) {
         if (calls.consecutiveFailures() >= FAILURES) {
             return true;
         }
-        double failures = calls.failures(now, recentSpan);
-        return failures >= FAILURES && failures >= FAILED_PART * calls.calls(now, recentSpan);
+        double failures = calls.failures(now, failureSpanTicks);
+        return failures >= FAILURES && failures >= FAILED_PART * calls.calls(now, failureSpanTicks);
     }
 
     private void onEndedWhileEjected(long now, Attempt attempt, boolean failed) {
--- a/sidecar/src/main/java/trestlegrade/policy/health/SilenceDetector.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/SilenceDetector.java
@@ -39,20 +39,20 @@
     /**
      * Measures the silence of each endpoint.
      *
-     * @param recentMeanTicks how long attempts took in the latest second: what was usual when an attempt was sent says
-     *     little once all have become slow
+     * @param recentTicksPerCommit how long attempts took in the latest second: what was usual when an attempt was sent
+     *     says little once all have become slow
      */
-    public void measure(long now, List<Transaction> open, double recentMeanTicks) {
+    public void measure(long now, List<Transaction> open, double recentTicksPerCommit) {
         observed.forEach(endpoint -> endpoint.silence().clear());
         observed.clear();
         for (Transaction transaction : open) {
             if (transaction.attemptsInFlight() > 0 && !transaction.isStreaming()) {
-                measure(now, transaction.lastAttempt(), recentMeanTicks);
+                measure(now, transaction.lastAttempt(), recentTicksPerCommit);
             }
         }
     }
 
-    private void measure(long now, Attempt attempt, double recentMeanTicks) {
+    private void measure(long now, Attempt attempt, double recentTicksPerCommit) {
         Endpoint endpoint = attempt.endpoint();
         SilenceState silence = endpoint.silence();
         if (silence.attempts() == 0) {
@@ -62,11 +62,11 @@
         double usualTicks =
                 attempt.expectedTicks() * Math.max(1, endpoint.calls().recentSlowness());
         double age = attempt.countedTicks(now - attempt.sentAt());
-        silence.add(silentTicks / Math.max(usualTicks, recentMeanTicks), (long) age);
+        silence.add(silentTicks / Math.max(usualTicks, recentTicksPerCommit), (long) age);
     }
 
     /** Counts what is in flight; in a jam the wait at suspect endpoints counts too. */
-    public void count(long now, boolean jammed) {
+    public void countInFlight(long now, boolean jammed) {
         steady = 0;
         suspect = 0;
         ageSumTicks = 0;
@@ -91,7 +91,7 @@
     }
 
     /** Endpoints with attempts in flight at the latest tick. */
-    public List<Endpoint> observed() {
+    public List<Endpoint> endpointsWithAttempts() {
         return observed;
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/retry/DeadlinePolicy.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/DeadlinePolicy.java
@@ -64,7 +64,7 @@
      * Whether the attempt in flight is lost and shall be cancelled, so that a retry follows its end: its endpoint has
      * been ejected since, it has taken longer than expected, and the retry is possible.
      */
-    public boolean isLost(long now, Transaction transaction) {
+    public boolean shouldCancelAndRetry(long now, Transaction transaction) {
         Attempt attempt = transaction.lastAttempt();
         return attempt.endpoint().ejection().isEjected()
                 && now - attempt.sentAt() > attempt.expectedTicks()
--- a/sidecar/src/main/java/trestlegrade/policy/retry/DiscoveryBackoff.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/DiscoveryBackoff.java
@@ -46,12 +46,12 @@
     }
 
     /** Returns the delay before the first call: a whole fleet may start at once, with the lists it was given. */
-    public long beforeFirstCall() {
+    public long delayBeforeFirstCall() {
         return (long) (random.next() * Math.min(MAX_START_SPREAD_TICKS, fleetSpreadTicks));
     }
 
     /** Returns the delay after a failed call or an ended watch; it doubles with each failure in a row. */
-    public long afterFailure() {
+    public long delayAfterFailure() {
         long backoff =
                 Math.min(INITIAL_BACKOFF_TICKS << Math.min(consecutiveFailures++, MAX_DOUBLINGS), maxBackoffTicks);
         double min = backoff * (1 - JITTER);
@@ -60,14 +60,14 @@
     }
 
     /** Resets the backoff: discovery has answered. */
-    public void succeeded() {
+    public void onSuccess() {
         consecutiveFailures = 0;
     }
 
     /**
      * Returns the delay before a silent watch is replaced or another address is watched: a whole fleet may do either.
      */
-    public long beforeReplacement() {
+    public long delayBeforeReplacement() {
         return (long) (random.next() * Math.min(MAX_REPLACEMENT_SPREAD_TICKS, fleetSpreadTicks));
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/selection/ZoneAffinity.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/ZoneAffinity.java
@@ -35,11 +35,11 @@
      * @param periodsPassed periods of 10 ms since the last call; those that were left out bring picks back, but send
      *     none away
      */
-    public void onTick(double expectedWaitTicks, double leastPermittedWaitTicks, double periodsPassed) {
+    public void onTick(double expectedWaitTicks, double minPermittedWaitTicks, double periodsPassed) {
         if (!crossingCosts) {
             return;
         }
-        boolean overloaded = expectedWaitTicks > OVERLOAD_WAIT * leastPermittedWaitTicks;
+        boolean overloaded = expectedWaitTicks > OVERLOAD_WAIT * minPermittedWaitTicks;
         double step = overloaded ? STEP : -STEP * periodsPassed;
         crossZonePart = Math.max(0, Math.min(1, crossZonePart + step));
     }
--- a/sidecar/src/test/java/trestlegrade/discovery/EndpointRegistryTest.java
+++ b/sidecar/src/test/java/trestlegrade/discovery/EndpointRegistryTest.java
@@ -112,7 +112,7 @@
                 : new JsonArray().add(early).add(late);
         registry.take(entries, true);
         assertEquals(1, registry.all().size());
-        assertEquals(20, registry.all().get(0).launched());
+        assertEquals(20, registry.all().get(0).launchedAt());
         assertEquals(List.of("a"), outdated);
     }
 }
--- a/sidecar/src/test/java/trestlegrade/policy/EndpointUpdatesTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/EndpointUpdatesTest.java
@@ -51,13 +51,13 @@
     void startInTheFutureCountsAsNow() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         harness.update(100, State.READY, harness.now + 36_000_000);
-        assertEquals(harness.now, harness.loadBalancer.endpoint(100).slowStart().since());
+        assertEquals(harness.now, harness.loadBalancer.endpoint(100).slowStart().warmUpStartedAt());
         // Told once more, it has not started again.
         long started = harness.now;
         harness.advance(50_000);
         harness.update(100, State.READY, started + 36_000_000);
-        assertEquals(started, harness.loadBalancer.endpoint(100).slowStart().since());
-        assertEquals(0, harness.loadBalancer.endpoint(101).slowStart().since());
+        assertEquals(started, harness.loadBalancer.endpoint(100).slowStart().warmUpStartedAt());
+        assertEquals(0, harness.loadBalancer.endpoint(101).slowStart().warmUpStartedAt());
     }
 
     /** Nothing new from the moment the sidecar is told, further attempts included. */
--- a/sidecar/src/test/java/trestlegrade/policy/retry/DiscoveryBackoffTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/retry/DiscoveryBackoffTest.java
@@ -47,7 +47,7 @@
         PriorityQueue<Call> calls = new PriorityQueue<>(Comparator.comparingLong(Call::at));
         for (int i = 0; i < callers; i++) {
             each.add(backoff(sidecars, seed * 1_000 + i));
-            calls.add(new Call(atOnce ? i : each.get(i).beforeFirstCall(), i));
+            calls.add(new Call(atOnce ? i : each.get(i).delayBeforeFirstCall(), i));
         }
         List<Long> served = new ArrayList<>();
         long free = 0;
@@ -58,7 +58,7 @@
                 served.add(free);
             } else {
                 calls.add(new Call(
-                        call.at + QUEUE_TIMEOUT_TICKS + each.get(call.caller).afterFailure(), call.caller));
+                        call.at + QUEUE_TIMEOUT_TICKS + each.get(call.caller).delayAfterFailure(), call.caller));
             }
         }
         return served;
@@ -86,9 +86,9 @@
     void oneAloneWaitsForLessThanTheLeaseOfItsFirstList() {
         for (int seed = 0; seed < SEEDS; seed++) {
             DiscoveryBackoff backoff = backoff(1_000, seed);
-            assertTrue(backoff.beforeFirstCall() <= 20_000);
-            assertTrue(backoff.afterFailure() <= 27_500);
-            assertTrue(backoff.beforeReplacement() <= 10_000);
+            assertTrue(backoff.delayBeforeFirstCall() <= 20_000);
+            assertTrue(backoff.delayAfterFailure() <= 27_500);
+            assertTrue(backoff.delayBeforeReplacement() <= 10_000);
         }
     }
 }
