--- a/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
+++ b/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
@@ -50,7 +50,7 @@
     /** Returns the longest deadline of a profile in milliseconds, which bounds the life of any transaction. */
     public long longestDeadlineMillis() {
         return policySettings.profiles().stream()
-                        .mapToLong(PolicySettings.Profile::deadline)
+                        .mapToLong(PolicySettings.Profile::deadlineTicks)
                         .max()
                         .orElse(0)
                 / TICKS_PER_MILLISECOND;
@@ -66,7 +66,7 @@
     }
 
     /** Returns the keys that differ in another configuration and that hold until the process ends. */
-    public List<String> differsIn(SidecarConfig other) {
+    public List<String> keysRequiringRestart(SidecarConfig other) {
         List<String> keys = new ArrayList<>();
         if (!name.equals(other.name)) {
             keys.add("name");
--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
@@ -179,7 +179,7 @@
     }
 
     private void logLeaseChange() {
-        boolean expired = !lease.valid(clock.now());
+        boolean expired = !lease.isValid(clock.now());
         if (expired == leaseExpired) {
             return;
         }
--- a/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
@@ -111,7 +111,7 @@
                 settings.idempotency() == Idempotency.IDEMPOTENT,
                 customers.getOrDefault(customer, NO_CUSTOMER),
                 HeaderRules.affinityKey(request.uri()),
-                deadline.of(connection, Math.min(timeoutTicks, settings.deadline())),
+                deadline.of(connection, Math.min(timeoutTicks, settings.deadlineTicks())),
                 HeaderRules.costHintTicks(request.getHeader(ProtocolFields.COST_HINT)));
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
+++ b/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
@@ -141,7 +141,7 @@
             return;
         }
         if (answered) {
-            closer.markAnswered(transaction);
+            closer.markClosed(transaction);
         }
         monitor.onAttemptEnded(now, transaction, attempt, tookTicks);
         if (!transaction.isStreaming()) {
@@ -154,7 +154,7 @@
     public void onClientDisconnected(long now, long id) {
         Transaction transaction = transactions.get(id);
         if (transaction != null) {
-            closer.markAnswered(transaction);
+            closer.markClosed(transaction);
         }
     }
 
@@ -208,7 +208,7 @@
 
     /** Sends the transaction's next attempt, keeps it until an endpoint may take it, or rejects it. */
     private void dispatch(long now, Transaction transaction) {
-        if (transaction.isAnswered()) {
+        if (transaction.isClosed()) {
             return;
         }
         RejectionReason reason = deadlinePolicy.rejectionReason(now, transaction);
@@ -236,12 +236,12 @@
         transaction.addAttempt(attempt);
         monitor.onSent(now, transaction, attempt);
         Endpoint endpoint = attempt.endpoint();
-        long writeBefore = lease.end(endpoint.serviceProof().servedAt());
+        long writeBefore = lease.expiresAt(endpoint.serviceProof().servedAt());
         actions.send(transaction.id(), endpoint.id(), transaction.deadline() - now, writeBefore);
     }
 
     private void waitForEndpoint(long now, Transaction transaction) {
-        if (!lease.valid(now)) {
+        if (!lease.isValid(now)) {
             closer.reject(transaction, RejectionReason.STALE_LIST, STALE_LIST_RETRY_AFTER_TICKS);
         } else if (deadlinePolicy.mayWaitForEndpoint(now, transaction)) {
             transactions.addWaiting(transaction);
--- a/sidecar/src/main/java/trestlegrade/policy/TransactionCloser.java
+++ b/sidecar/src/main/java/trestlegrade/policy/TransactionCloser.java
@@ -41,15 +41,15 @@
         } else {
             actions.abandon(transaction.id(), reason);
         }
-        markAnswered(transaction);
+        markClosed(transaction);
     }
 
     /** Marks the transaction as answered, and cancels what is in flight; does nothing the second time. */
-    void markAnswered(Transaction transaction) {
-        if (transaction.isAnswered()) {
+    void markClosed(Transaction transaction) {
+        if (transaction.isClosed()) {
             return;
         }
-        transaction.markAnswered();
+        transaction.markClosed();
         if (settings.cancellationAllowed() && transaction.attemptsInFlight() > 0) {
             cancelLastAttempt(transaction);
         }
@@ -59,13 +59,13 @@
     /** At each tick: rejects what is overdue, and cancels attempts that are lost, whose ends bring retries. */
     void onTick(long now) {
         transactions.retainOpen(transaction -> {
-            if (!transaction.isAnswered() && deadlinePolicy.isOverdue(now, transaction)) {
+            if (!transaction.isClosed() && deadlinePolicy.isOverdue(now, transaction)) {
                 reject(transaction, RejectionReason.DEADLINE);
             }
-            if (!transaction.isAnswered()) {
+            if (!transaction.isClosed()) {
                 cancelIfLost(now, transaction);
             }
-            return !transaction.isAnswered();
+            return !transaction.isClosed();
         });
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
@@ -90,7 +90,7 @@
         if (!attempt.endpoint().isSteady(now)) {
             return;
         }
-        double counted = attempt.countedTicks(tookTicks);
+        double counted = attempt.cappedTicks(tookTicks);
         AttemptOutcome outcome = attempt.outcome();
         if (outcome == AttemptOutcome.COMMITTED) {
             commits.add(now, counted);
--- a/sidecar/src/main/java/trestlegrade/policy/health/HalfOpenProbes.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/HalfOpenProbes.java
@@ -52,7 +52,7 @@
             Endpoint endpoint = endpoints.get(i);
             if (endpoint.isInUse()
                     && endpoint.ejection().isProbeDue(now)
-                    && now < lease.end(endpoint.serviceProof().servedAt())
+                    && now < lease.expiresAt(endpoint.serviceProof().servedAt())
                     && slowStartBudget.admits(now, transaction, endpoint, false)) {
                 return endpoint;
             }
--- a/sidecar/src/main/java/trestlegrade/policy/health/SilenceDetector.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/SilenceDetector.java
@@ -61,7 +61,7 @@
         long silentTicks = now - Math.max(attempt.sentAt(), endpoint.calls().lastAnswerAt());
         double usualTicks =
                 attempt.expectedTicks() * Math.max(1, endpoint.calls().recentSlowness());
-        double age = attempt.countedTicks(now - attempt.sentAt());
+        double age = attempt.cappedTicks(now - attempt.sentAt());
         silence.add(silentTicks / Math.max(usualTicks, recentMeanTicks), (long) age);
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/lease/EndpointListLease.java
+++ b/sidecar/src/main/java/trestlegrade/policy/lease/EndpointListLease.java
@@ -81,8 +81,8 @@
     }
 
     /** Returns whether every endpoint of the list may be sent to. */
-    public boolean valid(long now) {
-        return now < end(NEVER);
+    public boolean isValid(long now) {
+        return now < expiresAt(NEVER);
     }
 
     /**
@@ -90,7 +90,7 @@
      *
      * @param servedAt when the latest request that the endpoint served was sent, or {@link #NEVER}
      */
-    public long end(long servedAt) {
+    public long expiresAt(long servedAt) {
         long usableGrace = Math.max(drainGraceTicks - HOLD_UP_MARGIN_TICKS, drainGraceTicks / MIN_GRACE_DIVISOR);
         return Math.max(notifiedFrom, servedAt + notificationTicks) + usableGrace;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/request/Attempt.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/Attempt.java
@@ -42,7 +42,7 @@
     }
 
     /** For how long an attempt of this age or latency counts in a mean: three times the expected at the most. */
-    public double countedTicks(long ticks) {
+    public double cappedTicks(long ticks) {
         return Math.min((double) ticks, LONGEST_COUNTED * expectedTicks);
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/request/Transaction.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/Transaction.java
@@ -108,12 +108,12 @@
     }
 
     /** Whether its final answer has been given, or its client has disconnected. */
-    public boolean isAnswered() {
+    public boolean isClosed() {
         return answered;
     }
 
     /** Marks it as answered. */
-    public void markAnswered() {
+    public void markClosed() {
         answered = true;
     }
 
@@ -171,7 +171,7 @@
     }
 
     /** The first attempt that ran or may have run (one in flight may run), or null. */
-    public Attempt firstThatMayHaveRun() {
+    public Attempt firstPossiblyExecutedAttempt() {
         for (int i = 0; i < attempts.size(); i++) {
             AttemptOutcome outcome = attempts.get(i).outcome();
             if (outcome == null || !outcome.neverRan()) {
--- a/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
@@ -29,13 +29,13 @@
 
     /** Whether the transaction may be sent (again) to this endpoint. */
     public boolean maySend(long now, Transaction transaction, Endpoint endpoint) {
-        if (transaction.isAnswered()
+        if (transaction.isClosed()
                 || transaction.attempts().size() >= settings.maxAttempts()
                 || transaction.attemptsInFlight() > 0) {
             return false;
         }
         Profile profile = profile(transaction);
-        Attempt first = transaction.firstThatMayHaveRun();
+        Attempt first = transaction.firstPossiblyExecutedAttempt();
         if (first == null || profile.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
@@ -56,7 +56,7 @@
     public boolean mayRollBack(Transaction transaction) {
         Profile profile = profile(transaction);
         return profile.idempotency() == Idempotency.IDEMPOTENT
-                || transaction.firstThatMayHaveRun() == null
+                || transaction.firstPossiblyExecutedAttempt() == null
                 || (profile.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
                         && profile.deduplicationScope() == DeduplicationScope.ALL);
     }
--- a/sidecar/src/main/java/trestlegrade/policy/selection/EndpointSelector.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/EndpointSelector.java
@@ -129,7 +129,7 @@
     }
 
     private boolean meets(long now, Transaction transaction, Endpoint endpoint, SelectionPass pass) {
-        return now < lease.end(endpoint.serviceProof().servedAt())
+        return now < lease.expiresAt(endpoint.serviceProof().servedAt())
                 && !(pass.needsNotEjected() && endpoint.ejection().isEjected())
                 && !(pass.needsLocality() && (isElsewhere(endpoint) || isOverloaded(endpoint)))
                 && !(pass.needsEvenLoad() && isUnevenlyLoaded(now, endpoint))
--- a/sidecar/src/main/java/trestlegrade/policy/settings/PolicySettings.java
+++ b/sidecar/src/main/java/trestlegrade/policy/settings/PolicySettings.java
@@ -49,7 +49,7 @@
         long crashTicks) {
 
     /** Returns the same settings with the local zone's number in another numbering of zones. */
-    public PolicySettings inZone(int index) {
+    public PolicySettings withZone(int index) {
         return new PolicySettings(
                 profiles,
                 customers,
@@ -110,7 +110,7 @@
      * One class of request.
      *
      * @param latencyObjectiveTicks the latency objective: an answer within it earns the full revenue
-     * @param deadline the time that a client waits, over all of its retries
+     * @param deadlineTicks the time that a client waits, over all of its retries
      * @param priorityWeight worth of a request served, in any unit common to all profiles
      * @param idempotency idempotency
      * @param deduplicationScope deduplication scope; {@link DeduplicationScope#ALL} unless idempotent by key
@@ -119,7 +119,7 @@
      */
     public record Profile(
             long latencyObjectiveTicks,
-            long deadline,
+            long deadlineTicks,
             double priorityWeight,
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
--- a/sidecar/src/main/java/trestlegrade/runtime/ConfigReloader.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/ConfigReloader.java
@@ -39,7 +39,9 @@
             return;
         }
         log.add(() -> Logger.info(
-                "reload code=read discovery={} at_restart={}", config.discovery(), startConfig.differsIn(config)));
+                "reload code=read discovery={} at_restart={}",
+                config.discovery(),
+                startConfig.keysRequiringRestart(config)));
         target.accept(config);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -80,7 +80,7 @@
      */
     public void reload(PolicySettings settings, long seed, String zoneName) {
         events.submit(() -> {
-            PolicySettings zoned = zoneName == null ? settings : settings.inZone(endpoints.zone(zoneName));
+            PolicySettings zoned = zoneName == null ? settings : settings.withZone(endpoints.zone(zoneName));
             generations.replaceCurrent(new PolicyGeneration(this, zoned, seed, lease));
             LoadBalancer loadBalancer = generations.current().loadBalancer();
             loadBalancer.start(events.now());
--- a/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
@@ -107,7 +107,7 @@
                         false,
                         0,
                         sent,
-                        now + config.policySettings().profiles().get(profile).deadline(),
+                        now + config.policySettings().profiles().get(profile).deadlineTicks(),
                         0),
                 this));
     }
--- a/sidecar/src/test/java/trestlegrade/policy/DropRateGraderTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/DropRateGraderTest.java
@@ -27,7 +27,7 @@
     void slowEndpointIsGradedDownWithTimeAndOthersAreNot(
             AttemptOutcome outcome, long took, int seconds, double least, double most) {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
-        int attempts = harness.traffic(seconds * 10_000L, 103, outcome, took);
+        int attempts = harness.runTraffic(seconds * 10_000L, 103, outcome, took);
         double drop = harness.loadBalancer.endpoint(103).dropRate().value();
         assertTrue(drop >= least && drop <= most, "drop rate " + drop);
         assertTrue(attempts > 0);
@@ -37,11 +37,12 @@
     @Test
     void dropRateMovesSlowlyBothWaysAndKeepsOnePoint() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
-        harness.traffic(50_000, 103, AttemptOutcome.COMMITTED, 800);
+        harness.runTraffic(50_000, 103, AttemptOutcome.COMMITTED, 800);
         assertTrue(harness.loadBalancer.endpoint(103).dropRate().value() <= 0.25 + 1e-9);
-        harness.traffic(300_000, 103, AttemptOutcome.COMMITTED, 800);
+        harness.runTraffic(300_000, 103, AttemptOutcome.COMMITTED, 800);
         assertEquals(1, harness.loadBalancer.endpoint(103).dropRate().value());
-        assertTrue(harness.traffic(100_000, 103, AttemptOutcome.COMMITTED, 800) > 0, "the floor still gets attempts");
+        assertTrue(
+                harness.runTraffic(100_000, 103, AttemptOutcome.COMMITTED, 800) > 0, "the floor still gets attempts");
         harness.advance(360_000);
         assertEquals(0.5, harness.loadBalancer.endpoint(103).dropRate().value(), 0.3, "few calls ease down");
         harness.advance(150_000);
@@ -52,12 +53,12 @@
     @Test
     void nobodyIsGradedDownWhenAllAreSlow() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
-        harness.traffic(30_000, -1, null, 0);
+        harness.runTraffic(30_000, -1, null, 0);
         for (int i = 0; i < 300; i++) {
             harness.arrive(0);
-            SentAttempt attempt = harness.last();
+            SentAttempt attempt = harness.lastAttempt();
             harness.advance(1_000);
-            harness.end(attempt, AttemptOutcome.COMMITTED, 1_000);
+            harness.endAttempt(attempt, AttemptOutcome.COMMITTED, 1_000);
         }
         for (long id = 100; id < 110; id++) {
             assertTrue(harness.loadBalancer.endpoint(id).dropRate().value() < 0.3);
@@ -78,10 +79,10 @@
         }
         for (int i = 0; i < 60; i++) {
             harness.arrive(0);
-            SentAttempt attempt = harness.last();
+            SentAttempt attempt = harness.lastAttempt();
             long took = attempt.endpointId() < 104 ? 900 : 300;
             harness.advance(took);
-            harness.end(attempt, AttemptOutcome.COMMITTED, took);
+            harness.endAttempt(attempt, AttemptOutcome.COMMITTED, took);
             harness.advance(5_000 - took);
         }
         for (long id = 100; id < 110; id++) {
--- a/sidecar/src/test/java/trestlegrade/policy/EndpointSelectorTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/EndpointSelectorTest.java
@@ -28,11 +28,11 @@
             harness.now += 50;
             harness.loadBalancer.onTick(harness.now);
             harness.arrive(profile);
-            SentAttempt attempt = harness.last();
+            SentAttempt attempt = harness.lastAttempt();
             boolean bad = attempt.endpointId() >= 104;
             attempts[profile][bad ? 1 : 0] += i < 300 ? 0 : 1;
             harness.now += 50;
-            harness.end(attempt, bad && profile == 2 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
+            harness.endAttempt(attempt, bad && profile == 2 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
         }
         assertTrue(
                 attempts[2][1] < attempts[2][0] / 8,
@@ -50,10 +50,10 @@
             harness.now += 100;
             harness.loadBalancer.onTick(harness.now);
             harness.arrive(2);
-            SentAttempt attempt = harness.last();
+            SentAttempt attempt = harness.lastAttempt();
             attempts[(int) attempt.endpointId() - 100]++;
             harness.now += 100;
-            harness.end(attempt, i % oneIn == 0 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
+            harness.endAttempt(attempt, i % oneIn == 0 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
         }
         Arrays.sort(attempts);
         assertTrue(attempts[9] < 3 * attempts[0], attempts[0] + " to " + attempts[9]);
@@ -84,7 +84,7 @@
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         harness.loadBalancer.onEndpointUpdates(
                 harness.now, List.of(new EndpointUpdate(103, 0, 0, 1, State.READY, weight, 0)), false, false);
-        int attempts = harness.traffic(100_000, 103, AttemptOutcome.COMMITTED, 200);
+        int attempts = harness.runTraffic(100_000, 103, AttemptOutcome.COMMITTED, 200);
         assertEquals(share, attempts / (double) harness.sent.size(), 0.015);
     }
 
@@ -97,7 +97,7 @@
         for (int number = 0; number < 125; number++) {
             PolicyHarness harness = new PolicyHarness("fees.connection=0.03", "n_instances=125", "my_number=" + number)
                     .fleet(State.READY, 0);
-            harness.traffic(8_000, -1, null, 0);
+            harness.runTraffic(8_000, -1, null, 0);
             long[] kept = harness.sent.stream()
                     .mapToLong(SentAttempt::endpointId)
                     .distinct()
@@ -112,10 +112,10 @@
         assertTrue(keepers[9] - keepers[0] <= 5, Arrays.toString(keepers));
         // A part of one that leaves is made up for.
         PolicyHarness harness = new PolicyHarness("fees.connection=0.03", "n_instances=125").fleet(State.READY, 0);
-        harness.traffic(8_000, -1, null, 0);
-        harness.update(harness.last().endpointId(), State.DRAINING, 0);
+        harness.runTraffic(8_000, -1, null, 0);
+        harness.update(harness.lastAttempt().endpointId(), State.DRAINING, 0);
         int before = harness.sent.size();
-        harness.traffic(8_000, -1, null, 0);
+        harness.runTraffic(8_000, -1, null, 0);
         assertEquals(
                 8,
                 harness.sent.stream()
@@ -130,14 +130,14 @@
     @CsvSource({"0.12, 200, 0, 0", "0.12, 4000, 0.2, 0.9", "0.03, 200, 0.4, 0.6"})
     void picksStayLocalUntilTheZoneIsOverloaded(double fee, long took, double least, double most) {
         PolicyHarness harness = new PolicyHarness("fees.cross_zone=" + fee, "zone=1").fleet(State.READY, 0);
-        harness.traffic(30_000, -1, null, 0);
-        List.copyOf(harness.sent).forEach(attempt -> harness.end(attempt, AttemptOutcome.COMMITTED, 200));
+        harness.runTraffic(30_000, -1, null, 0);
+        List.copyOf(harness.sent).forEach(attempt -> harness.endAttempt(attempt, AttemptOutcome.COMMITTED, 200));
         int before = harness.sent.size();
         for (int i = 0, ended = before; i < 2_000; i++) {
             long due = harness.now - took;
             harness.arrive(0);
             while (harness.sentAt(ended) <= due) {
-                harness.end(harness.sent.get(ended++), AttemptOutcome.COMMITTED, took);
+                harness.endAttempt(harness.sent.get(ended++), AttemptOutcome.COMMITTED, took);
             }
             harness.advance(100);
         }
@@ -171,8 +171,8 @@
 
     private static long keyed(PolicyHarness harness, long key) {
         harness.loadBalancer.onArrival(harness.now, harness.nextTransactionId++, 0, 0, key, 10_000, 0);
-        SentAttempt attempt = harness.last();
-        harness.end(attempt, AttemptOutcome.COMMITTED, 200);
+        SentAttempt attempt = harness.lastAttempt();
+        harness.endAttempt(attempt, AttemptOutcome.COMMITTED, 200);
         return attempt.endpointId();
     }
 }
--- a/sidecar/src/test/java/trestlegrade/policy/EndpointUpdatesTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/EndpointUpdatesTest.java
@@ -22,14 +22,14 @@
     @Test
     void goneEndpointIsForgottenAndPassesNothingOn() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
-        harness.traffic(50_000, 100, AttemptOutcome.ERROR, 100);
+        harness.runTraffic(50_000, 100, AttemptOutcome.ERROR, 100);
         assertTrue(harness.loadBalancer.endpoint(100).ejection().isEjected());
         harness.arrive(0);
-        SentAttempt out = harness.last();
+        SentAttempt out = harness.lastAttempt();
         for (int i = 0; i < 1_000; i++) {
             long old = i == 0 ? out.endpointId() : 200 + i - 1;
             harness.update(old, State.GONE, 0);
-            harness.traffic(200, -1, null, 0);
+            harness.runTraffic(200, -1, null, 0);
             harness.update(200 + i, State.READY, 0);
             assertFalse(harness.loadBalancer.endpoint(200 + i).ejection().isEjected());
             assertEquals(0, harness.loadBalancer.endpoint(200 + i).calls().consecutiveFailures());
@@ -40,7 +40,7 @@
                     harness.loadBalancer.endpoint(200 + i).index() <= 11,
                     "place " + harness.loadBalancer.endpoint(200 + i).index());
             if (i == 8) {
-                harness.end(out, AttemptOutcome.ERROR, 100);
+                harness.endAttempt(out, AttemptOutcome.ERROR, 100);
             }
         }
         assertEquals(0, harness.loadBalancer.endpoint(1_199).calls().consecutiveFailures());
@@ -77,7 +77,7 @@
             }
         }
         int before = harness.sent.size();
-        harness.end(harness.sent.get(0), AttemptOutcome.NO_CONNECTION, 100);
+        harness.endAttempt(harness.sent.get(0), AttemptOutcome.NO_CONNECTION, 100);
         for (int i = 0; i < 100; i++) {
             harness.arrive(0);
         }
--- a/sidecar/src/test/java/trestlegrade/policy/FinalAnswerTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/FinalResponseTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import trestlegrade.policy.PolicyHarness.FinalAnswer;
+import trestlegrade.policy.PolicyHarness.FinalResponse;
 import trestlegrade.policy.PolicyHarness.Rejection;
 import trestlegrade.policy.PolicyHarness.SentAttempt;
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
@@ -16,7 +16,7 @@
 import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
 /** Rule 1: one final answer for each transaction, and nothing kept after it. */
-class FinalAnswerTest {
+class FinalResponseTest {
 
     /** However it is given up, nothing of a transaction is held once it has its answer and no attempt is out. */
     @ParameterizedTest
@@ -27,7 +27,7 @@
             harness.arrive(i % 3);
             if (cause.equals("FAILED")) {
                 while (harness.loadBalancer.heldTransactions() > 0) {
-                    harness.end(harness.last(), AttemptOutcome.NO_CONNECTION, 10);
+                    harness.endAttempt(harness.lastAttempt(), AttemptOutcome.NO_CONNECTION, 10);
                 }
             } else if (cause.equals("COLD")) {
                 harness.now += 10;
@@ -35,11 +35,11 @@
         }
         if (cause.equals("COLD")) {
             harness.advance(20_000);
-            List.copyOf(harness.sent).forEach(each -> harness.end(each, AttemptOutcome.TIMED_OUT, 10_000));
+            List.copyOf(harness.sent).forEach(each -> harness.endAttempt(each, AttemptOutcome.TIMED_OUT, 10_000));
         }
         harness.advance(20_000);
         assertEquals(0, harness.loadBalancer.heldTransactions());
-        assertEquals(1_000, harness.answers.size());
+        assertEquals(1_000, harness.finalResponses.size());
     }
 
     @ParameterizedTest
@@ -53,18 +53,18 @@
     void oneFinalAnswerAtTheDeadline(int profile, AttemptOutcome outcome, Rejection expected) {
         PolicyHarness harness = new PolicyHarness(DeduplicationScope.CELL, 1).fleet(State.READY, 0);
         long id = harness.arrive(profile);
-        SentAttempt attempt = harness.last();
+        SentAttempt attempt = harness.lastAttempt();
         if (outcome != null) {
             harness.now += 10_000;
-            harness.end(attempt, outcome, 10_000);
+            harness.endAttempt(attempt, outcome, 10_000);
         }
         harness.advance(10_200);
-        assertEquals(List.of(new FinalAnswer(expected, id)), harness.answers);
-        harness.end(attempt, AttemptOutcome.BROKEN, 10_300);
+        assertEquals(List.of(new FinalResponse(expected, id)), harness.finalResponses);
+        harness.endAttempt(attempt, AttemptOutcome.BROKEN, 10_300);
         harness.loadBalancer.onClientDisconnected(harness.now, id);
         harness.advance(20_000);
         assertEquals(1, harness.sent.size());
-        assertEquals(1, harness.answers.size());
+        assertEquals(1, harness.finalResponses.size());
     }
 
     @Test
@@ -72,13 +72,13 @@
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         long left = harness.arrive(0);
         harness.loadBalancer.onClientDisconnected(harness.now, left);
-        harness.end(harness.last(), AttemptOutcome.ERROR, 100);
+        harness.endAttempt(harness.lastAttempt(), AttemptOutcome.ERROR, 100);
         harness.arrive(2);
-        harness.end(harness.last(), AttemptOutcome.COMMITTED, 100);
+        harness.endAttempt(harness.lastAttempt(), AttemptOutcome.COMMITTED, 100);
         harness.loadBalancer.onClientDisconnected(harness.now, 12345);
         harness.advance(20_000);
         assertEquals(2, harness.sent.size());
-        assertEquals(List.of(), harness.answers);
+        assertEquals(List.of(), harness.finalResponses);
         assertEquals(List.of(left), harness.cancelled);
     }
 
@@ -99,7 +99,7 @@
         }
         harness.advance(1_500);
         assertEquals(List.of(), harness.sent);
-        assertEquals(List.of(FinalAnswer.rolledBack(id)), harness.answers);
+        assertEquals(List.of(FinalResponse.rolledBack(id)), harness.finalResponses);
     }
 
     /** A burst on a fleet that is cold as a whole: most wait in vain, and each gets one answer all the same. */
@@ -116,11 +116,11 @@
         long sentEarly = harness.sent.size();
         assertTrue(sentEarly >= 10 && sentEarly <= 100, "sent " + sentEarly);
         harness.advance(12_000);
-        assertEquals(2_000, harness.answers.size());
+        assertEquals(2_000, harness.finalResponses.size());
         assertEquals(
                 2_000,
-                harness.answers.stream()
-                        .map(FinalAnswer::transactionId)
+                harness.finalResponses.stream()
+                        .map(FinalResponse::transactionId)
                         .distinct()
                         .count());
     }
--- a/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
@@ -37,12 +37,12 @@
                     boolean mute = i >= 100 && attempt.endpointId() < 100 + silent;
                     if (age >= (mute ? 10_000 : 1_300)) {
                         out.remove(attempt);
-                        harness.end(attempt, mute ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMMITTED, age);
+                        harness.endAttempt(attempt, mute ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMMITTED, age);
                     }
                 }
             }
         }
-        long dropped = harness.answers.stream()
+        long dropped = harness.finalResponses.stream()
                 .filter(answer -> answer.rejection() == Rejection.ROLLED_BACK)
                 .count();
         assertTrue(dropped >= least && dropped <= most, dropped + " rolled back");
@@ -52,9 +52,9 @@
     @Test
     void attemptsStuckAtOneEndpointShedNothing() {
         PolicyHarness harness = new PolicyHarness(DeduplicationScope.ALL, 3).fleet(State.READY, 0);
-        harness.traffic(20_000, -1, null, 0);
-        harness.traffic(7_000, 103, null, 0);
-        assertEquals(List.of(), harness.answers);
+        harness.runTraffic(20_000, -1, null, 0);
+        harness.runTraffic(7_000, 103, null, 0);
+        assertEquals(List.of(), harness.finalResponses);
         assertTrue(harness.loadBalancer.endpoint(103).ejection().isEjected());
     }
 
@@ -62,22 +62,22 @@
     @Test
     void arrivalsAreShedInAJamAndAdmittedAfterIt() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
-        harness.traffic(30_000, -1, null, 0);
-        assertEquals(0, harness.answers.size());
+        harness.runTraffic(30_000, -1, null, 0);
+        assertEquals(0, harness.finalResponses.size());
         for (int i = 0; i < 3_000; i++) {
             harness.arrive(0);
             if (i % 20 == 0) {
                 harness.advance(100);
             }
         }
-        assertTrue(harness.answers.size() > 1_000, "rolled back " + harness.answers.size());
+        assertTrue(harness.finalResponses.size() > 1_000, "rolled back " + harness.finalResponses.size());
         for (SentAttempt each : List.copyOf(harness.sent)) {
-            harness.end(each, AttemptOutcome.COMMITTED, 4_000);
+            harness.endAttempt(each, AttemptOutcome.COMMITTED, 4_000);
         }
-        harness.traffic(100_000, -1, null, 0);
-        int before = harness.answers.size();
-        harness.traffic(30_000, -1, null, 0);
-        assertEquals(before, harness.answers.size());
+        harness.runTraffic(100_000, -1, null, 0);
+        int before = harness.finalResponses.size();
+        harness.runTraffic(30_000, -1, null, 0);
+        assertEquals(before, harness.finalResponses.size());
     }
 
     /** In a jam the profile with the least revenue goes first, unless the goal counts the worst-served one. */
@@ -85,7 +85,7 @@
     @CsvSource({"0, true", "1, false"})
     void leastRevenueIsShedFirstUnlessTheWorstProfileCounts(double worst, boolean apart) {
         PolicyHarness harness = new PolicyHarness("goal.whole=1", "goal.worst_class=" + worst).fleet(State.READY, 0);
-        harness.traffic(30_000, -1, null, 0);
+        harness.runTraffic(30_000, -1, null, 0);
         int[] passed = new int[3];
         for (int i = 0; i < 3_000; i++) {
             int before = harness.sent.size();
@@ -98,7 +98,7 @@
                         .skip(Math.max(0, harness.sent.size() - 40))
                         .filter(s -> s.transactionId() == harness.nextTransactionId - 24)
                         .toList()
-                        .forEach(s -> harness.end(s, AttemptOutcome.COMMITTED, 1_400));
+                        .forEach(s -> harness.endAttempt(s, AttemptOutcome.COMMITTED, 1_400));
             }
         }
         assertTrue(passed[2] > 100);
--- a/sidecar/src/test/java/trestlegrade/policy/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/OutlierEjectionTest.java
@@ -19,18 +19,18 @@
     @CsvSource({", 0, 60", "ERROR, 20, 60", "BROKEN, 20, 60", "NO_CONNECTION, 1200, 60"})
     void silentOrFailingEndpointIsEjectedEarlyAndTakenBack(AttemptOutcome outcome, long took, int most) {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
-        harness.traffic(20_000, -1, null, 0);
-        int attempts = harness.traffic(50_000, 103, outcome, took);
+        harness.runTraffic(20_000, -1, null, 0);
+        int attempts = harness.runTraffic(50_000, 103, outcome, took);
         assertTrue(harness.loadBalancer.endpoint(103).ejection().isEjected());
         assertTrue(attempts <= most, "still got " + attempts + " of about 2500 attempts");
         for (SentAttempt each : List.copyOf(harness.sent)) {
             if (each.endpointId() == 103) {
-                harness.end(each, AttemptOutcome.CANCELLED, 1);
+                harness.endAttempt(each, AttemptOutcome.CANCELLED, 1);
             }
         }
-        harness.traffic(100_000, 103, AttemptOutcome.COMMITTED, 200);
+        harness.runTraffic(100_000, 103, AttemptOutcome.COMMITTED, 200);
         assertFalse(harness.loadBalancer.endpoint(103).ejection().isEjected());
-        int back = harness.traffic(20_000, 103, AttemptOutcome.COMMITTED, 200);
+        int back = harness.runTraffic(20_000, 103, AttemptOutcome.COMMITTED, 200);
         assertTrue(back > 30, "only " + back + " of about 100 attempts");
     }
 
@@ -41,10 +41,11 @@
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         for (int i = 0; i < 600; i++) {
             harness.arrive(0);
-            for (SentAttempt attempt = null; attempt != harness.last(); ) {
-                attempt = harness.last();
+            for (SentAttempt attempt = null; attempt != harness.lastAttempt(); ) {
+                attempt = harness.lastAttempt();
                 harness.advance(200);
-                harness.end(attempt, attempt.endpointId() < 104 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
+                harness.endAttempt(
+                        attempt, attempt.endpointId() < 104 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
             }
             harness.advance(4_400);
         }
--- a/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
+++ b/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
@@ -25,21 +25,21 @@
     }
 
     /** A final answer that the decisions gave without an endpoint's response. */
-    public record FinalAnswer(Rejection rejection, long transactionId) {
+    public record FinalResponse(Rejection rejection, long transactionId) {
         /** It has had no effect. */
-        public static FinalAnswer rolledBack(long transactionId) {
-            return new FinalAnswer(Rejection.ROLLED_BACK, transactionId);
+        public static FinalResponse rolledBack(long transactionId) {
+            return new FinalResponse(Rejection.ROLLED_BACK, transactionId);
         }
 
         /** Nothing is promised of its effect. */
-        public static FinalAnswer abandoned(long transactionId) {
-            return new FinalAnswer(Rejection.ABANDONED, transactionId);
+        public static FinalResponse abandoned(long transactionId) {
+            return new FinalResponse(Rejection.ABANDONED, transactionId);
         }
     }
 
     public final List<SentAttempt> sent = new ArrayList<>();
     private final List<Long> sentAt = new ArrayList<>();
-    public final List<FinalAnswer> answers = new ArrayList<>();
+    public final List<FinalResponse> finalResponses = new ArrayList<>();
     public final List<RejectionReason> rejectionReasons = new ArrayList<>();
     final List<Long> cancelled = new ArrayList<>();
     private final List<SentAttempt> out = new ArrayList<>();
@@ -127,11 +127,11 @@
         return place < sentAt.size() ? sentAt.get(place) : Long.MAX_VALUE;
     }
 
-    public SentAttempt last() {
+    public SentAttempt lastAttempt() {
         return sent.get(sent.size() - 1);
     }
 
-    public void end(SentAttempt attempt, AttemptOutcome outcome, long took) {
+    public void endAttempt(SentAttempt attempt, AttemptOutcome outcome, long took) {
         loadBalancer.onAttemptEnded(
                 now, attempt.transactionId(), attempt.number(), outcome, took, outcome == AttemptOutcome.COMMITTED);
     }
@@ -148,7 +148,7 @@
      * {@code outlierTookTicks} says with {@code outlierOutcome}, or never answers if that is null. Returns how many
      * attempts the outlier one got.
      */
-    public int traffic(long span, long outlier, AttemptOutcome outlierOutcome, long outlierTookTicks) {
+    public int runTraffic(long span, long outlier, AttemptOutcome outlierOutcome, long outlierTookTicks) {
         int first = sent.size();
         for (long end = now + span; now < end; ) {
             now += 20;
@@ -170,7 +170,7 @@
                     boolean atOutlier = each.endpointId() == outlier;
                     AttemptOutcome outcome = atOutlier ? outlierOutcome : AttemptOutcome.COMMITTED;
                     if (outcome != null) {
-                        end(each, outcome, atOutlier ? outlierTookTicks : 200);
+                        endAttempt(each, outcome, atOutlier ? outlierTookTicks : 200);
                     }
                 }
             }
@@ -193,13 +193,13 @@
 
     @Override
     public void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason) {
-        answers.add(FinalAnswer.rolledBack(transactionId));
+        finalResponses.add(FinalResponse.rolledBack(transactionId));
         rejectionReasons.add(reason);
     }
 
     @Override
     public void abandon(long transactionId, RejectionReason reason) {
-        answers.add(FinalAnswer.abandoned(transactionId));
+        finalResponses.add(FinalResponse.abandoned(transactionId));
     }
 
     @Override
--- a/sidecar/src/test/java/trestlegrade/policy/RetryPolicyTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/RetryPolicyTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import trestlegrade.policy.PolicyHarness.FinalAnswer;
+import trestlegrade.policy.PolicyHarness.FinalResponse;
 import trestlegrade.policy.PolicyHarness.SentAttempt;
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 import trestlegrade.policy.request.AttemptOutcome;
@@ -39,18 +39,18 @@
         for (int round = 0; round < 20; round++) {
             PolicyHarness harness = new PolicyHarness(group, 3).fleet(State.READY, 0);
             long id = harness.arrive(profile);
-            SentAttempt first = harness.last();
+            SentAttempt first = harness.lastAttempt();
             harness.now += 100;
-            harness.end(first, outcome, 100);
+            harness.endAttempt(first, outcome, 100);
             if (expected.equals("abandoned")) {
-                assertEquals(List.of(FinalAnswer.abandoned(id)), harness.answers);
+                assertEquals(List.of(FinalResponse.abandoned(id)), harness.finalResponses);
                 assertEquals(1, harness.sent.size());
                 continue;
             }
             assertEquals(2, harness.sent.size());
-            assertEquals(List.of(), harness.answers);
+            assertEquals(List.of(), harness.finalResponses);
             if (expected.equals("group")) {
-                long again = harness.last().endpointId();
+                long again = harness.lastAttempt().endpointId();
                 assertTrue(
                         group == DeduplicationScope.CELL
                                 ? (first.endpointId() - 100) / 2 == (again - 100) / 2
@@ -65,9 +65,9 @@
         PolicyHarness harness = new PolicyHarness(DeduplicationScope.CELL, 3).fleet(State.READY, 0);
         harness.loadBalancer.onArrival(harness.now, 9, 1, 0, 0, 100_000, 0);
         harness.now += 19_500;
-        harness.end(harness.last(), AttemptOutcome.BROKEN, 19_500);
+        harness.endAttempt(harness.lastAttempt(), AttemptOutcome.BROKEN, 19_500);
         assertEquals(1, harness.sent.size());
-        assertEquals(List.of(FinalAnswer.abandoned(9)), harness.answers);
+        assertEquals(List.of(FinalResponse.abandoned(9)), harness.finalResponses);
     }
 
     /** A lost attempt is cancelled, and only its end brings a retry: there are never two in flight at once. */
@@ -76,15 +76,15 @@
     void lostAttemptIsCancelledBeforeItsRetry(int profile, boolean cancelling, int attempts) {
         PolicyHarness harness =
                 new PolicyHarness(DeduplicationScope.ALL, 3, "ceilings.cancelling=" + cancelling).fleet(State.READY, 0);
-        harness.traffic(20_000, -1, null, 0);
-        List.copyOf(harness.sent).forEach(attempt -> harness.end(attempt, AttemptOutcome.COMMITTED, 200));
+        harness.runTraffic(20_000, -1, null, 0);
+        List.copyOf(harness.sent).forEach(attempt -> harness.endAttempt(attempt, AttemptOutcome.COMMITTED, 200));
         int before = harness.sent.size();
         harness.loadBalancer.onArrival(harness.now, 99_999, profile, 0, 0, 20_000, 0);
         harness.advance(12_500);
         assertEquals(before + 1, harness.sent.size());
         assertEquals(attempts > 1, harness.cancelled.contains(99_999L));
         if (attempts > 1) {
-            harness.end(harness.last(), AttemptOutcome.CANCELLED, 12_500);
+            harness.endAttempt(harness.lastAttempt(), AttemptOutcome.CANCELLED, 12_500);
         }
         harness.advance(1_000);
         assertEquals(before + attempts, harness.sent.size());
@@ -98,12 +98,12 @@
         for (int i = 0; i < costs.length; i++) {
             harness.loadBalancer.onArrival(harness.now, i + 1, 0, 0, 0, 10_000, costs[i]);
             harness.advance(200);
-            harness.end(
-                    harness.last(),
+            harness.endAttempt(
+                    harness.lastAttempt(),
                     i == costs.length - 1 ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.COMMITTED,
                     200);
         }
         assertEquals(costs.length + 1, harness.sent.size());
-        assertEquals(List.of(), harness.answers);
+        assertEquals(List.of(), harness.finalResponses);
     }
 }
--- a/sidecar/src/test/java/trestlegrade/policy/SlowStartBudgetTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/SlowStartBudgetTest.java
@@ -20,7 +20,7 @@
     @ValueSource(booleans = {true, false})
     void coldEndpointIsNotPushed(boolean restarted) {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
-        harness.traffic(100_000, -1, null, 0);
+        harness.runTraffic(100_000, -1, null, 0);
         long id = restarted ? 104 : 200;
         harness.update(id, State.READY, harness.now);
         long start = harness.now;
@@ -44,7 +44,7 @@
         PolicyHarness harness = new PolicyHarness();
         harness.fleet(State.READY, harness.now);
         harness.advance(20_000);
-        harness.traffic(10_000, -1, null, 0);
+        harness.runTraffic(10_000, -1, null, 0);
         assertFalse(harness.sent.isEmpty());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import trestlegrade.policy.PolicyHarness;
-import trestlegrade.policy.PolicyHarness.FinalAnswer;
+import trestlegrade.policy.PolicyHarness.FinalResponse;
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 import trestlegrade.policy.request.AttemptOutcome;
 import trestlegrade.policy.request.RejectionReason;
@@ -58,13 +58,13 @@
             case "shorter grace" -> lease.setDrainGrace(2_500);
             default -> {}
         }
-        assertTrue(lease.valid(end - 1));
-        assertFalse(lease.valid(end));
+        assertTrue(lease.isValid(end - 1));
+        assertFalse(lease.isValid(end));
     }
 
     @Test
     void aPermanentOneNeverEnds() {
-        assertTrue(EndpointListLease.permanent().valid(Long.MAX_VALUE / 2));
+        assertTrue(EndpointListLease.permanent().isValid(Long.MAX_VALUE / 2));
     }
 
     /** Nothing is sent past its end: no first attempt, none for what waited, and none behind one that failed. */
@@ -76,11 +76,11 @@
         long open = harness.arrive(2);
         assertEquals(1, harness.sent.size());
         harness.now += 100;
-        harness.end(harness.last(), AttemptOutcome.NO_CONNECTION, 100);
+        harness.endAttempt(harness.lastAttempt(), AttemptOutcome.NO_CONNECTION, 100);
         harness.arrive(0);
         assertEquals(1, harness.sent.size());
-        assertEquals(FinalAnswer.rolledBack(open), harness.answers.get(0));
-        assertEquals(2, harness.answers.size());
+        assertEquals(FinalResponse.rolledBack(open), harness.finalResponses.get(0));
+        assertEquals(2, harness.finalResponses.size());
         assertEquals(0, harness.loadBalancer.heldTransactions());
         assertEquals(List.of(RejectionReason.STALE_LIST, RejectionReason.STALE_LIST), harness.rejectionReasons);
         lease.renew(harness.now);
@@ -97,15 +97,15 @@
     void serversThatServeAreSentToWithoutDiscovery() {
         EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
         PolicyHarness harness = new PolicyHarness(lease, DeduplicationScope.ALL, 3).fleet(State.READY, 0);
-        harness.traffic(100_000, 100, AttemptOutcome.COMMITTED, 200);
+        harness.runTraffic(100_000, 100, AttemptOutcome.COMMITTED, 200);
         int before = harness.sent.size();
-        int drains = harness.traffic(67_000, 100, AttemptOutcome.REJECTED, 10);
+        int drains = harness.runTraffic(67_000, 100, AttemptOutcome.REJECTED, 10);
         assertTrue(drains < 3, drains + " to the one that drains");
         assertTrue(harness.sent.size() - before > 3_000, harness.sent.size() - before + " sent");
-        assertEquals(0, harness.traffic(433_000, 100, AttemptOutcome.COMMITTED, 200));
+        assertEquals(0, harness.runTraffic(433_000, 100, AttemptOutcome.COMMITTED, 200));
         assertFalse(harness.rejectionReasons.contains(RejectionReason.STALE_LIST));
         lease.renew(harness.now);
-        assertTrue(harness.traffic(50_000, 100, AttemptOutcome.COMMITTED, 200) > 0);
+        assertTrue(harness.runTraffic(50_000, 100, AttemptOutcome.COMMITTED, 200) > 0);
     }
 
     /**
@@ -118,13 +118,13 @@
         harness.now += 60_000;
         harness.arrive(0);
         harness.now += 500;
-        harness.end(harness.last(), AttemptOutcome.COMMITTED, 500);
+        harness.endAttempt(harness.lastAttempt(), AttemptOutcome.COMMITTED, 500);
         harness.now += 66_400;
         harness.arrive(0);
         assertEquals(2, harness.sent.size());
         harness.now += 100;
-        harness.end(harness.last(), AttemptOutcome.ERROR, 100);
+        harness.endAttempt(harness.lastAttempt(), AttemptOutcome.ERROR, 100);
         assertEquals(2, harness.sent.size());
-        assertEquals(1, harness.answers.size());
+        assertEquals(1, harness.finalResponses.size());
     }
 }
