--- a/sidecar/src/main/java/trestlegrade/inbound/BodyMemoryBudget.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BodyMemoryBudget.java
@@ -21,7 +21,7 @@
     }
 
     /** The bytes of all claims together. */
-    public long held() {
+    public long claimedBytes() {
         return heldBytes;
     }
 
--- a/sidecar/src/main/java/trestlegrade/inbound/ClientConnection.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ClientConnection.java
@@ -83,7 +83,7 @@
     }
 
     boolean hasOpenTransaction() {
-        return transaction != null && !transaction.over();
+        return transaction != null && !transaction.isFinished();
     }
 
     boolean isBusy() {
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
@@ -101,17 +101,17 @@
     }
 
     /** How many trace ids of transactions are open, whose final response is owed. */
-    public int openTraceIds() {
+    public int openTraceIdCount() {
         return acceptor.openTraceIds().count();
     }
 
     /** Bytes that the bodies of requests hold, from their first byte until no attempt needs them. */
     public long requestBodyBytes() {
-        return requestBodies.held();
+        return requestBodies.claimedBytes();
     }
 
     /** How many connections of clients are open. */
-    public int connections() {
+    public int connectionCount() {
         return connections.count();
     }
 
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
@@ -36,7 +36,7 @@
     public final RequestMetadata metadata;
     public final List<OutboundAttempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
     /** Attempts whose end has not been reported yet. */
-    public int out;
+    public int attemptsInFlight;
     /** Assigned by the policy executor; 0 before. */
     public long id;
     /** The settings under which it was accepted, and under which it ends; null before. */
@@ -55,22 +55,22 @@
     }
 
     /** Whether the final response has been given, or nobody waits for it any more. */
-    public boolean over() {
+    public boolean isFinished() {
         return over;
     }
 
     /** Whether an attempt may be made: the final response is open, and its client waits for it. */
-    public boolean wanted() {
+    public boolean isAwaitingResponse() {
         return !over && !client.isDisconnected();
     }
 
-    /** Hands over the memory of its body, which it holds until {@link #release}. */
+    /** Hands over the memory of its body, which it holds until {@link #releaseBodyMemory}. */
     void ownBodyMemory(BodyMemoryBudget.Claim memory) {
         bodyMemory = memory;
     }
 
     /** Frees the memory of its body. It is over, and has no attempt in flight. */
-    public void release() {
+    public void releaseBodyMemory() {
         if (bodyMemory != null) {
             bodyMemory.release();
         }
@@ -102,7 +102,7 @@
     }
 
     /** Its client has disconnected: it is over without a response. Further calls do nothing. */
-    public void clientLeft(Counters counters) {
+    public void clientDisconnected(Counters counters) {
         if (!over) {
             over = true;
             counters.clientsLeft++;
@@ -112,7 +112,7 @@
     /** Whether the response about to be given is the final one, and can reach the client. */
     private boolean finish(Counters counters) {
         if (client.isDisconnected()) {
-            clientLeft(counters);
+            clientDisconnected(counters);
         }
         boolean first = !over;
         over = true;
--- a/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
@@ -69,7 +69,7 @@
 
     /** Bytes that the bodies of responses hold. */
     public long responseBodyBytes() {
-        return responseBodies.held();
+        return responseBodies.claimedBytes();
     }
 
     /** Connections to endpoints that are open or being opened. */
@@ -139,7 +139,7 @@
             settle(attempt, AttemptOutcome.NO_CONNECTION);
         } else if (attempt.ended) {
             pool.release(connection);
-        } else if (!attempt.request.wanted()
+        } else if (!attempt.request.isAwaitingResponse()
                 || clock.now() >= attempt.writeBeforeTicks
                 || clock.now() - connection.requestedTicks > stalledConnectTicks()) {
             settle(attempt, AttemptOutcome.NOT_SENT);
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -91,9 +91,9 @@
     /** A request has been read to its last byte. */
     public void requestArrived(InboundRequest request) {
         events.submit(() -> {
-            if (!request.wanted()) {
+            if (!request.isAwaitingResponse()) {
                 // Its client disconnected while it waited here, or before it was read.
-                request.clientLeft(counters);
+                request.clientDisconnected(counters);
                 forgetIfOver(request);
                 return;
             }
@@ -126,10 +126,10 @@
     }
 
     private void cancelForClient(InboundRequest request) {
-        if (request.over()) {
+        if (request.isFinished()) {
             return;
         }
-        request.clientLeft(counters);
+        request.clientDisconnected(counters);
         if (request.generation != null) {
             request.generation.loadBalancer().onClientDisconnected(events.now(), request.id);
         }
@@ -139,12 +139,12 @@
     public void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome) {
         events.submit(() -> {
             InboundRequest request = attempt.request;
-            request.out--;
+            request.attemptsInFlight--;
             counters.attempt(outcome);
             if (outcome == AttemptOutcome.COMMITTED) {
                 commit(attempt);
             }
-            if (!request.wanted()) {
+            if (!request.isAwaitingResponse()) {
                 // The event of the disconnect may stand behind this one; no retry may be decided on before it.
                 cancelForClient(request);
             }
@@ -156,7 +156,7 @@
                             attempt.number,
                             outcome,
                             loop.clock().now() - attempt.startedTicks,
-                            request.over());
+                            request.isFinished());
             forgetIfOver(request);
         });
     }
@@ -222,8 +222,8 @@
                 loop.clock().now(),
                 writeBeforeTicks);
         request.attempts.add(attempt);
-        request.out++;
-        attemptSender.send(attempt, request.wanted() ? timeoutTicks : 0);
+        request.attemptsInFlight++;
+        attemptSender.send(attempt, request.isAwaitingResponse() ? timeoutTicks : 0);
     }
 
     void cancelAttempt(long transactionId, int attemptNumber) {
@@ -258,10 +258,10 @@
      * ends, for either may come last; a missed call would leak the request and its body.
      */
     private void forgetIfOver(InboundRequest request) {
-        if (!request.over() || request.out > 0) {
+        if (!request.isFinished() || request.attemptsInFlight > 0) {
             return;
         }
-        request.release();
+        request.releaseBodyMemory();
         if (openRequests.remove(request.id) != null) {
             generations.transactionEnded(request.generation);
         }
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -143,10 +143,10 @@
         counters.gauge("transactions", policyExecutor::openTransactions);
         counters.gauge("held_transactions", policyExecutor::heldTransactions);
         counters.gauge("policy_generations", policyExecutor::generationCount);
-        counters.gauge("open_ids", inboundServer::openTraceIds);
+        counters.gauge("open_ids", inboundServer::openTraceIdCount);
         counters.gauge("request_body_kb", () -> inboundServer.requestBodyBytes() >> 10);
         counters.gauge("answer_body_kb", () -> attemptSender.responseBodyBytes() >> 10);
-        counters.gauge("clients", inboundServer::connections);
+        counters.gauge("clients", inboundServer::connectionCount);
         counters.gauge("pooled", attemptSender::connections);
         counters.gauge("list_version", discovery::version);
         counters.gauge("list_age_ms", discovery::ageMillis);
