--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
@@ -79,7 +79,7 @@
         Vertx vertx = loop.vertx();
         client = vertx.createHttpClient(new HttpClientOptions().setPipelining(false));
         // After a stall of the event loop, what has arrived meanwhile is read before a watch counts as silent.
-        vertx.setPeriodic(SILENCE_CHECK_INTERVAL_MILLIS, timer -> loop.lag().caughtUp(this::check));
+        vertx.setPeriodic(SILENCE_CHECK_INTERVAL_MILLIS, timer -> loop.lag().runWhenCaughtUp(this::check));
     }
 
     @Override
@@ -98,12 +98,12 @@
     }
 
     @Override
-    public void adopt(PolicySettings settings) {
-        schedule.adopt(settings);
+    public void applySettings(PolicySettings settings) {
+        schedule.applySettings(settings);
     }
 
     @Override
-    public void moveTo(SocketAddress newAddress) {
+    public void changeAddress(SocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
@@ -247,7 +247,7 @@
         @Override
         public void confirmed() {
             // What is read after a stall of the event loop may have been written before it.
-            confirmedAt = clock.now() - Math.max(0, loop.lag().unread());
+            confirmedAt = clock.now() - Math.max(0, loop.lag().readDelayTicks());
             lease.renew(confirmedAt);
         }
 
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointListSource.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointListSource.java
@@ -18,10 +18,10 @@
     void watch();
 
     /** Adopts settings: called before {@link #watch()}, and again at each SIGHUP with new settings. */
-    void adopt(PolicySettings settings);
+    void applySettings(PolicySettings settings);
 
     /** Watches at another address from now on; the list and its version stay. Does nothing if it is the same. */
-    void moveTo(SocketAddress newAddress);
+    void changeAddress(SocketAddress newAddress);
 
     /** Completes once the list may be relied on for serving; never fails. */
     Future<Void> firstListReceived();
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointRegistry.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointRegistry.java
@@ -74,7 +74,7 @@
     }
 
     /** Returns a zone's number; it holds for all settings until the process ends. */
-    public int zone(String name) {
+    public int zoneNumber(String name) {
         return zones.numberOf(name);
     }
 
@@ -99,7 +99,7 @@
      *
      * @param snapshot whether the entries are all endpoints, so that those not among them have left
      */
-    public List<EndpointUpdate> take(JsonArray entries, boolean snapshot) {
+    public List<EndpointUpdate> applyList(JsonArray entries, boolean snapshot) {
         listNumber++;
         stopped.clear();
         List<EndpointUpdate> updates = new ArrayList<>(entries.size());
--- a/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
@@ -40,7 +40,7 @@
     }
 
     /** Adopts settings; the first time, it delays the first watch, since a whole fleet may start at once. */
-    void adopt(PolicySettings settings) {
+    void applySettings(PolicySettings settings) {
         pushed = !settings.listPolled();
         boolean first = backoff == null;
         backoff = new DiscoveryBackoff(settings, seed);
--- a/sidecar/src/main/java/trestlegrade/eventloop/EventLoopLag.java
+++ b/sidecar/src/main/java/trestlegrade/eventloop/EventLoopLag.java
@@ -82,7 +82,7 @@
     private void holdUntilRead(long lagTicks) {
         unreadStallTicks = Math.max(unreadStallTicks, lagTicks);
         long stall = ++stallCount;
-        afterReading(() -> {
+        runAfterSocketReads(() -> {
             if (stall == stallCount) {
                 unreadStallTicks = 0;
             }
@@ -90,7 +90,7 @@
     }
 
     /** The lag to expect, in ticks: the worst, halved for each second since, or that of the turn under way. */
-    public long now() {
+    public long expectedTicks() {
         long now = clock.now();
         return Math.max(decayedWorst(now), now - lastPulseTicks - PULSE_TICKS);
     }
@@ -101,14 +101,14 @@
      * <p>Does not use the decayed worst lag: a second stall within a second, a little shorter than the first, would not
      * show in it.
      */
-    public long unread() {
+    public long readDelayTicks() {
         long now = clock.now();
         long recent = Math.max(unreadStallTicks, now - recentLagAt < PULSE_TICKS ? recentLagTicks : 0);
         return Math.max(now - lastPulseTicks - PULSE_TICKS, recent);
     }
 
     /** How long, in ticks, the loop stalled up to this time or since then; 0 if it did not. */
-    public long stalledAt(long time) {
+    public long stallTicksSince(long time) {
         return stallEndAt + 2 * PULSE_TICKS >= time ? stallTicks : 0;
     }
 
@@ -116,16 +116,16 @@
      * Runs the action at once, or after a stall once all sockets have been read: what waits there, such as an endpoint
      * list or a client's disconnect, may be older than the action and forbid it.
      */
-    public void caughtUp(Runnable action) {
-        if (unread() <= STALL_TICKS) {
+    public void runWhenCaughtUp(Runnable action) {
+        if (readDelayTicks() <= STALL_TICKS) {
             action.run();
         } else {
-            afterReading(action);
+            runAfterSocketReads(action);
         }
     }
 
     /** Runs the action behind two timers that follow each other: the loop reads all sockets between them. */
-    public void afterReading(Runnable action) {
+    public void runAfterSocketReads(Runnable action) {
         vertx.setTimer(1, t -> vertx.setTimer(1, u -> action.run()));
     }
 
--- a/sidecar/src/main/java/trestlegrade/eventloop/TimerRoundingIoHandler.java
+++ b/sidecar/src/main/java/trestlegrade/eventloop/TimerRoundingIoHandler.java
@@ -28,7 +28,7 @@
     }
 
     /** A factory whose handlers round up and count their turns. */
-    public static IoHandlerFactory over(IoHandlerFactory delegate, Counters.Turns turns) {
+    public static IoHandlerFactory wrap(IoHandlerFactory delegate, Counters.Turns turns) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
--- a/sidecar/src/main/java/trestlegrade/inbound/BoundedTransport.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BoundedTransport.java
@@ -85,7 +85,7 @@
 
     @Override
     public IoHandlerFactory ioHandlerFactory() {
-        return TimerRoundingIoHandler.over(nio.ioHandlerFactory(), turns);
+        return TimerRoundingIoHandler.wrap(nio.ioHandlerFactory(), turns);
     }
 
     @Override
--- a/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
@@ -120,7 +120,7 @@
      * be unread still: it is given time, and this is called again.
      */
     void shutDown() {
-        long before = clock.now() - SHUTDOWN_GRACE_TICKS - 2 * lag.now();
+        long before = clock.now() - SHUTDOWN_GRACE_TICKS - 2 * lag.expectedTicks();
         boolean anyRecent = false;
         for (ClientConnection connection : new ArrayList<>(open.values())) {
             anyRecent |= shutDown(connection, before);
--- a/sidecar/src/main/java/trestlegrade/inbound/ConnectionEvictor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ConnectionEvictor.java
@@ -59,7 +59,7 @@
             // Each costs its client a new connection: one at a time.
             evictOne();
         }
-        vertx.setTimer(EVICTION_INTERVAL_MILLIS, t -> lag.caughtUp(this::evict));
+        vertx.setTimer(EVICTION_INTERVAL_MILLIS, t -> lag.runWhenCaughtUp(this::evict));
     }
 
     /** Whether nothing at all has come on some connection. */
@@ -69,7 +69,7 @@
 
     private void evictUnused() {
         // All sockets have been read since the latest stall: how long it was does not matter.
-        long before = clock.now() - UNREAD_TICKS - 2 * Math.min(lag.now(), ORDINARY_LAG_TICKS);
+        long before = clock.now() - UNREAD_TICKS - 2 * Math.min(lag.expectedTicks(), ORDINARY_LAG_TICKS);
         open.stream()
                 .filter(each -> each.isUnused() && each.lastActiveAt() <= before && !each.isClosing())
                 .limit(MAX_EVICTIONS_AT_ONCE)
@@ -89,7 +89,7 @@
                 return true;
             }
         }
-        ClientConnection victim = idleForLongest(clock.now() - UNREAD_TICKS - 2 * lag.now());
+        ClientConnection victim = idleForLongest(clock.now() - UNREAD_TICKS - 2 * lag.expectedTicks());
         if (victim != null) {
             victim.close(ConnectionEndReason.EVICTED);
         }
--- a/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
@@ -147,8 +147,8 @@
         }
         phase = Phase.CLOSING;
         // What connections have sent so far is read before they are taken for idle.
-        lag.afterReading(connections::shutDown);
-        Runnable onListenerClosed = () -> context.runOnContext(v -> lag.afterReading(this::listenerClosed));
+        lag.runAfterSocketReads(connections::shutDown);
+        Runnable onListenerClosed = () -> context.runOnContext(v -> lag.runAfterSocketReads(this::listenerClosed));
         transport.closeListener(
                 clock, responsesDueBy + BACKLOG_MARGIN_MILLIS * MonotonicClock.TICKS_PER_MILLI, onListenerClosed);
     }
--- a/sidecar/src/main/java/trestlegrade/inbound/IdleConnectionSweeper.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/IdleConnectionSweeper.java
@@ -30,7 +30,7 @@
         this.counters = counters;
         this.open = open;
         // What came during a stall is read first: its connection is not idle.
-        vertx.setPeriodic(SWEEP_INTERVAL_MILLIS, t -> lag.caughtUp(this::sweep));
+        vertx.setPeriodic(SWEEP_INTERVAL_MILLIS, t -> lag.runWhenCaughtUp(this::sweep));
     }
 
     /** However steadily a client sends or reads, no transfer lasts longer than any transaction may. */
--- a/sidecar/src/main/java/trestlegrade/inbound/LingeringClose.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/LingeringClose.java
@@ -100,7 +100,7 @@
 
     private void closeOnceQuiet(ChannelHandlerContext context, ChannelPromise promise, long quietTicks, long deadline) {
         // Behind a stall what has come is read first.
-        Runnable check = () -> lag.caughtUp(() -> {
+        Runnable check = () -> lag.runWhenCaughtUp(() -> {
             if (clock.now() < deadline && clock.now() - decoder.lastReadAt() < quietTicks) {
                 closeOnceQuiet(context, promise, quietTicks, deadline);
             } else {
--- a/sidecar/src/main/java/trestlegrade/inbound/RequestDeadline.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/RequestDeadline.java
@@ -28,11 +28,11 @@
     long of(ClientConnection connection, long timeoutTicks) {
         long waited = clock.now()
                 - connection.decoder().receivedAt()
-                + connection.decoder().backlogTicks(lag.now());
+                + connection.decoder().backlogTicks(lag.expectedTicks());
         long left = Math.max(0, timeoutTicks - waited);
         // What is read after a stall may have come at its beginning.
-        long unread = Math.min(left, lag.unread());
-        long late = Math.max(0, lag.now());
+        long unread = Math.min(left, lag.readDelayTicks());
+        long late = Math.max(0, lag.expectedTicks());
         long reserve = Math.min(Math.max(STALL_RESERVE_TICKS, late), left / LAG_PART);
         return Math.min(
                 shutdown.responsesDueBy() - Math.min(late, left / LAG_PART),
--- a/sidecar/src/main/java/trestlegrade/inbound/StrictRequestDecoder.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/StrictRequestDecoder.java
@@ -69,7 +69,7 @@
         long ticks =
                 channel instanceof InterruptibleSocketChannel own ? own.backlogNanoseconds() / NANOSECONDS_PER_TICK : 0;
         // The client may have connected while the process stood still, before the listener saw that it had to wait.
-        return ticks > 0 ? ticks + lag.stalledAt(clock.now() - ticks) : 0;
+        return ticks > 0 ? ticks + lag.stallTicksSince(clock.now() - ticks) : 0;
     }
 
     @Override
--- a/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
@@ -135,7 +135,7 @@
         }
         if (connection.transactionCount() == 1 && descriptors.clientWaitedLately()) {
             // It may have waited in the backlog, and its client's end with it: that is read first.
-            lag.afterReading(() -> executor.requestArrived(transaction));
+            lag.runAfterSocketReads(() -> executor.requestArrived(transaction));
         } else {
             executor.requestArrived(transaction);
         }
--- a/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
@@ -78,8 +78,8 @@
     }
 
     /** Closes the idle connections to an endpoint that left, drains, moved or started anew. */
-    public void closeOutdated(Endpoint endpoint) {
-        pool.closeOutdated(endpoint);
+    public void closeIdle(Endpoint endpoint) {
+        pool.closeIdle(endpoint);
     }
 
     /** No more attempts: closes all idle connections. */
@@ -207,7 +207,8 @@
     }
 
     private void awaitNextPart(OutboundAttempt attempt, long delayMillis) {
-        attempt.progressTimer = vertx.setTimer(delayMillis, t -> loop.lag().caughtUp(() -> checkProgress(attempt)));
+        attempt.progressTimer =
+                vertx.setTimer(delayMillis, t -> loop.lag().runWhenCaughtUp(() -> checkProgress(attempt)));
     }
 
     private void checkProgress(OutboundAttempt attempt) {
--- a/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
@@ -163,7 +163,7 @@
                 listener);
         connection.whenClosed(() -> closed(connection));
         connection.whenExcessBytes(() -> excessBytes(connection));
-        loop.lag().caughtUp(() -> listener.connected(attempt, connection));
+        loop.lag().runWhenCaughtUp(() -> listener.connected(attempt, connection));
     }
 
     /** Late ones could have met an attempt. A connection in quarantine stays, to show whether the endpoint goes on. */
@@ -262,7 +262,7 @@
     }
 
     /** Closes the idle connections to an endpoint that left, drains, moved or started anew. */
-    void closeOutdated(Endpoint endpoint) {
+    void closeIdle(Endpoint endpoint) {
         closeIdleSinceBefore(endpoint, ConnectionEnd.ENDPOINT_OUTDATED, Long.MAX_VALUE);
         if (!endpoint.active) {
             idleByEndpoint.remove(endpoint.id);
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
@@ -43,7 +43,7 @@
     private void submitTo(Queue<Runnable> queue, Runnable event) {
         queue.add(event);
         if (turnScheduled.compareAndSet(false, true)) {
-            loop.context().runOnContext(v -> loop.lag().caughtUp(this::runTurn));
+            loop.context().runOnContext(v -> loop.lag().runWhenCaughtUp(this::runTurn));
         }
     }
 
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -66,7 +66,7 @@
         events.submitEndpointListEvent(() -> {
             LoadBalancer loadBalancer = generations.current().loadBalancer();
             loadBalancer.start(events.now());
-            loadBalancer.onEndpointUpdates(events.now(), endpoints.take(lastKnownList, true), true, true);
+            loadBalancer.onEndpointUpdates(events.now(), endpoints.applyList(lastKnownList, true), true, true);
             // The load balancer asks for the watch in some membership modes only; the list comes by it in all.
             endpointListWatch.run();
         });
@@ -80,7 +80,7 @@
      */
     public void reload(PolicySettings settings, long seed, String zoneName) {
         events.submit(() -> {
-            PolicySettings zoned = zoneName == null ? settings : settings.inZone(endpoints.zone(zoneName));
+            PolicySettings zoned = zoneName == null ? settings : settings.inZone(endpoints.zoneNumber(zoneName));
             generations.replaceCurrent(new PolicyGeneration(this, zoned, seed, lease));
             LoadBalancer loadBalancer = generations.current().loadBalancer();
             loadBalancer.start(events.now());
@@ -179,7 +179,7 @@
      */
     public void applyEndpointList(JsonArray entries, boolean complete) {
         events.submitEndpointListEvent(() -> {
-            List<EndpointUpdate> updates = endpoints.take(entries, complete);
+            List<EndpointUpdate> updates = endpoints.applyList(entries, complete);
             long now = events.now();
             generations.forEachLoadBalancer(each -> each.onEndpointUpdates(now, updates, complete, false));
         });
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -98,7 +98,7 @@
         attemptSender = new AttemptSender(
                 loop, counters, policyExecutor::attemptEnded, startConfig, AttemptSender.QUARANTINE_MILLIS);
         endpoints =
-                new EndpointRegistry(startConfig.zones(), startConfig.kinds(), attemptSender::closeOutdated, counters);
+                new EndpointRegistry(startConfig.zones(), startConfig.kinds(), attemptSender::closeIdle, counters);
         discovery = new DiscoveryClient(
                 loop,
                 counters,
@@ -108,7 +108,7 @@
                 policyExecutor::endpointListWatchFailed,
                 lease,
                 startConfig.seed() + 1);
-        discovery.adopt(startConfig.policySettings());
+        discovery.applySettings(startConfig.policySettings());
         inboundServer = new InboundHttpServer(
                 loop.vertx(),
                 loop.context(),
@@ -161,14 +161,14 @@
         if (discovery == null) {
             return;
         }
-        discovery.moveTo(config.discovery());
+        discovery.changeAddress(config.discovery());
         if (config.sameSettings(currentConfig)) {
             return;
         }
         currentConfig = config;
         attemptSender.reload(config);
         inboundServer.applyConfig(config);
-        discovery.adopt(config.policySettings());
+        discovery.applySettings(config.policySettings());
         lease.setDrainGrace(config.drainGraceTicks());
         policyExecutor.reload(config.policySettings(), startConfig.seed(), zoneName(config));
         int open = policyExecutor.openTransactions();
--- a/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
@@ -67,7 +67,7 @@
         policyExecutor = new PolicyExecutor(
                 loop, counters, config.policySettings(), config.seed(), EndpointListLease.permanent());
         attemptSender = new AttemptSender(loop, counters, policyExecutor::attemptEnded, config, QUARANTINE_MILLIS);
-        endpoints = new EndpointRegistry(config.zones(), config.kinds(), attemptSender::closeOutdated, counters);
+        endpoints = new EndpointRegistry(config.zones(), config.kinds(), attemptSender::closeIdle, counters);
         fastRoundTicks = fastRoundTicks(config.contractedRatePerSecond());
         startTicks = clock.now();
         roundStartTicks = startTicks;
--- a/sidecar/src/test/java/trestlegrade/discovery/EndpointRegistryTest.java
+++ b/sidecar/src/test/java/trestlegrade/discovery/EndpointRegistryTest.java
@@ -35,7 +35,7 @@
                     .put("group", i)
                     .put("status", "active"));
         }
-        List<EndpointUpdate> updates = registry.take(entries, true);
+        List<EndpointUpdate> updates = registry.applyList(entries, true);
         assertEquals(1_024, updates.size());
         assertEquals(
                 1_024, updates.stream().map(EndpointUpdate::zone).distinct().count());
@@ -66,14 +66,14 @@
     void aMalformedEntryStillTellsThatItsEndpointDrains() {
         List<String> outdated = new ArrayList<>();
         EndpointRegistry registry = registry(outdated);
-        registry.take(new JsonArray().add(entry("a", "active")).add(entry("b", "active")), true);
+        registry.applyList(new JsonArray().add(entry("a", "active")).add(entry("b", "active")), true);
         List<EndpointUpdate> updates =
-                registry.take(new JsonArray().add(entry("a", "leaving").put("weight", -1)), false);
+                registry.applyList(new JsonArray().add(entry("a", "leaving").put("weight", -1)), false);
         assertEquals(List.of("a"), outdated);
         assertEquals(1, updates.size());
         assertEquals(EndpointUpdate.State.DRAINING, updates.get(0).state());
         assertTrue(registry.anyActive());
-        registry.take(new JsonArray().add(entry("b", "left").put("name", 7)), false);
+        registry.applyList(new JsonArray().add(entry("b", "left").put("name", 7)), false);
         assertEquals(List.of("a", "b"), outdated);
         assertFalse(registry.anyActive());
         assertEquals(1, registry.all().size());
@@ -84,13 +84,13 @@
     void aSnapshotDropsWhatItLeavesOut() {
         List<String> outdated = new ArrayList<>();
         EndpointRegistry registry = registry(outdated);
-        registry.take(
+        registry.applyList(
                 new JsonArray()
                         .add(entry("a", "active"))
                         .add(entry("b", "active"))
                         .add(entry("c", "active")),
                 true);
-        registry.take(
+        registry.applyList(
                 new JsonArray()
                         .add(entry("a", "active"))
                         .add(entry("b", "active").put("weight", 0)),
@@ -110,7 +110,7 @@
         JsonArray entries = latestFirst
                 ? new JsonArray().add(late).add(early)
                 : new JsonArray().add(early).add(late);
-        registry.take(entries, true);
+        registry.applyList(entries, true);
         assertEquals(1, registry.all().size());
         assertEquals(20, registry.all().get(0).launched());
         assertEquals(List.of("a"), outdated);
--- a/sidecar/src/test/java/trestlegrade/eventloop/EventLoopLagTest.java
+++ b/sidecar/src/test/java/trestlegrade/eventloop/EventLoopLagTest.java
@@ -56,14 +56,14 @@
         // Not late enough by itself to count as a stall, and late enough to have forgotten the one before.
         now += 900;
         boolean[] done = {false};
-        lag.caughtUp(() -> done[0] = true);
+        lag.runWhenCaughtUp(() -> done[0] = true);
         assertFalse(done[0], "done before anything was read");
         runTimers();
         assertFalse(done[0], "done after the first of two reads");
         runTimers();
         assertTrue(done[0]);
         pulse.handle(0L);
-        lag.caughtUp(() -> done[0] = false);
+        lag.runWhenCaughtUp(() -> done[0] = false);
         assertFalse(done[0], "still waits though all has been read");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/eventloop/TimerRoundingIoHandlerTest.java
+++ b/sidecar/src/test/java/trestlegrade/eventloop/TimerRoundingIoHandlerTest.java
@@ -39,7 +39,7 @@
     void sleepsUntilATimerIsDue() throws Exception {
         Counters.Turns turns = new Counters.Turns();
         EventLoopGroup loop =
-                new MultiThreadIoEventLoopGroup(1, TimerRoundingIoHandler.over(NioIoHandler.newFactory(), turns));
+                new MultiThreadIoEventLoopGroup(1, TimerRoundingIoHandler.wrap(NioIoHandler.newFactory(), turns));
         try {
             loop.submit(() -> {}).get();
             long before = turns.all();
