--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
@@ -120,7 +120,7 @@
             return;
         }
         ended = true;
-        counters.ended("watch", reason.code, address.toString(), messages, clock.now() - openedAt);
+        counters.connectionEnded("watch", reason.code, address.toString(), messages, clock.now() - openedAt);
         long version = owner.version();
         long quietMillis = quietMillis(clock.now());
         counters.log.add(() ->
--- a/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
@@ -87,7 +87,7 @@
         ConnectionEndReason byClient =
                 connection.isBusy() ? ConnectionEndReason.CLIENT_DISCONNECTED : ConnectionEndReason.CLIENT_CLOSED;
         ConnectionEndReason reason = connection.endReason() == null ? byClient : connection.endReason();
-        counters.ended(
+        counters.connectionEnded(
                 "client",
                 reason.code(),
                 connection.peer(),
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
@@ -105,7 +105,7 @@
     public void clientLeft(Counters counters) {
         if (!over) {
             over = true;
-            counters.clientsLeft++;
+            counters.clientsDisconnected++;
         }
     }
 
--- a/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
@@ -129,7 +129,7 @@
                 new TransactionResponder(connection, request.response(), traceId, openTraceIds, writer));
         connection.transactionAccepted(transaction);
         openTraceIds.add(traceId);
-        counters.taken++;
+        counters.accepted++;
         if (shutdown.isClosing()) {
             connection.endWith(ConnectionEndReason.SHUTTING_DOWN);
         }
--- a/sidecar/src/main/java/trestlegrade/metrics/Counters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/Counters.java
@@ -31,7 +31,7 @@
     public final RejectionCounters rejections;
 
     /** Counter: transactions whose last byte was read and that were valid. */
-    public long taken;
+    public long accepted;
     /** Counter: transactions answered with an endpoint's commit. */
     public long committed;
     /** Counter: transactions answered with a rollback. */
@@ -39,7 +39,7 @@
     /** Counter: transactions answered without a promise about their effect. */
     public long abandoned;
     /** Counter: transactions whose client disconnected before the answer. */
-    public long clientsLeft;
+    public long clientsDisconnected;
     /** Counter: attempts written to a connection. */
     public long attemptsSent;
     /** Counter: connections to endpoints that were requested. */
@@ -128,7 +128,7 @@
      * @param carried how many messages it carried
      * @param openTicks how long it was open
      */
-    public void ended(String side, String code, String peer, int carried, long openTicks) {
+    public void connectionEnded(String side, String code, String peer, int carried, long openTicks) {
         connectionsEnded.merge(side + ":" + code, 1L, Long::sum);
         log.add(() -> Logger.info(
                 "{} code={} peer={} carried={} open_ms={}",
@@ -168,11 +168,11 @@
         JsonObject codes = new JsonObject();
         connectionsEnded.forEach(codes::put);
         return new JsonObject()
-                .put("accepted", taken)
+                .put("accepted", accepted)
                 .put("committed", committed)
                 .put("rolled_back", rolledBack)
                 .put("abandoned", abandoned)
-                .put("clients_left", clientsLeft)
+                .put("clients_left", clientsDisconnected)
                 .put("rejected", byStatus)
                 .put("attempts_sent", attemptsSent)
                 .put("attempts_ended", ends)
--- a/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
@@ -213,7 +213,7 @@
     }
 
     private void count(ConnectionEnd end, Endpoint endpoint, int attemptsCarried, long openTicks) {
-        counters.ended("pooled", end.logCode(), endpoint.name, attemptsCarried, openTicks);
+        counters.connectionEnded("pooled", end.logCode(), endpoint.name, attemptsCarried, openTicks);
     }
 
     /**
