--- a/sidecar/src/main/java/trestlegrade/eventloop/EventLoopLag.java
+++ b/sidecar/src/main/java/trestlegrade/eventloop/EventLoopLag.java
@@ -4,21 +4,24 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How late the event loop runs, measured with a periodic timer. All calls are on the event loop.
+ * Measures how late the event loop runs, with a periodic timer. All calls are on the event loop.
  *
- * <p>What is read now may have come so much earlier, and what is due may be done so much later: the final answer of a
- * transaction has to be due before its client's deadline by that.
+ * <p>Data that is read now may have arrived earlier by the lag, and a task that is due now may run later by the lag.
+ * The final response of a transaction is therefore due before its client's deadline by as much.
  */
 public final class EventLoopLag {
-    /** Short against any client's deadline; twenty timers a second cost next to nothing. */
-    private static final long PULSE_MILLIS = 50;
+    /** Short compared with any client's deadline. The cost of 20 timers per second is negligible. */
+    private static final long INTERVAL_MILLIS = 50;
 
-    private static final long PULSE_TICKS = PULSE_MILLIS * MonotonicClock.TICKS_PER_MILLI;
-    /** Shorter than any time limit of the rules with its slack; a loop on a part of a core is often later than half. */
+    private static final long INTERVAL_TICKS = INTERVAL_MILLIS * MonotonicClock.TICKS_PER_MILLI;
+    /**
+     * A lag above this is a stall. It is shorter than any time limit of the rules, including its slack. It is not half
+     * as long, because an event loop that has only a fraction of a core often lags by more than that.
+     */
     private static final long STALL_TICKS = 50 * MonotonicClock.TICKS_PER_MILLI;
-    /** The worst lag counts half after this time. */
+    /** The worst lag is halved each time that this period has passed. */
     private static final long HALF_LIFE_TICKS = 1_000 * MonotonicClock.TICKS_PER_MILLI;
-    /** As long as any transaction may wait; stalls closer to each other count as one. */
+    /** Stalls closer together than this count as one, because no transaction may wait longer. */
     private static final long SAME_STALL_TICKS = 3_000 * MonotonicClock.TICKS_PER_MILLI;
 
     private static final int MAX_SHIFT = 62;
@@ -26,60 +29,64 @@
     private final Vertx vertx;
     private final MonotonicClock clock;
     private final Histogram histogram;
-    private long lastPulseTicks;
-    /** The worst lag within one pulse; the timers left out in a stall follow it at once. */
+    private long lastMeasuredTicks;
+    /**
+     * The largest lag within one interval. A periodic timer makes up for the runs that it missed in a stall directly
+     * after the stall, and those runs measure no lag.
+     */
     private long recentLagTicks;
 
     private long recentLagAt;
     private long worstLagTicks;
     private long worstLagAt;
-    /** How long the latest stall was; 0 once the sockets have been read behind it. */
+    /** The longest stall after which the sockets have not been read yet; 0 if there is none. */
     private long unreadStallTicks;
 
     private long stallCount;
     private long stallTicks;
     private long stallEndAt = Long.MIN_VALUE / 2;
 
-    /** Measures from now on; each pulse's lag is recorded in the histogram, in ticks. */
+    /** Starts measuring, and records the lag of each interval in the histogram, in ticks. */
     public EventLoopLag(Vertx vertx, MonotonicClock clock, Histogram histogram) {
         this.vertx = vertx;
         this.clock = clock;
         this.histogram = histogram;
-        lastPulseTicks = clock.now();
-        vertx.setPeriodic(PULSE_MILLIS, t -> pulse());
+        lastMeasuredTicks = clock.now();
+        vertx.setPeriodic(INTERVAL_MILLIS, t -> measure());
     }
 
-    private void pulse() {
+    private void measure() {
         long now = clock.now();
-        long lagTicks = Math.max(0, now - lastPulseTicks - PULSE_TICKS);
+        long lagTicks = Math.max(0, now - lastMeasuredTicks - INTERVAL_TICKS);
         histogram.recordValue(Math.min(lagTicks, histogram.getHighestTrackableValue()));
-        if (now - recentLagAt >= PULSE_TICKS || lagTicks > recentLagTicks) {
+        if (now - recentLagAt >= INTERVAL_TICKS || lagTicks > recentLagTicks) {
             recentLagTicks = lagTicks;
             recentLagAt = now;
         }
-        if (lagTicks > decayedWorst(now)) {
+        if (lagTicks > decayedWorstLag(now)) {
             worstLagTicks = lagTicks;
             worstLagAt = now;
         }
         if (lagTicks > STALL_TICKS) {
-            stalled(now, lagTicks);
+            recordStall(now, lagTicks);
         }
-        lastPulseTicks = now;
+        lastMeasuredTicks = now;
     }
 
-    private void stalled(long now, long lagTicks) {
-        holdUntilRead(lagTicks);
+    private void recordStall(long now, long lagTicks) {
+        holdStallUntilSocketsRead(lagTicks);
         boolean sameStall = now - stallEndAt < SAME_STALL_TICKS;
         stallTicks = sameStall ? Math.max(stallTicks, lagTicks) : lagTicks;
         stallEndAt = now;
     }
 
     /**
-     * The first timer after a stall may run before any socket is read, since the system interrupts the selector when a
-     * stopped process goes on, and how long the loop takes from there to its sockets is not bounded. So a stall counts
-     * until two timers that follow each other have run, between which the loop reads.
+     * Counts a stall until two consecutive timers have run, because the event loop reads its sockets between them.
+     *
+     * <p>The first timer after a stall may run before any socket is read, because the operating system interrupts the
+     * selector when a stopped process resumes. The time from there until the event loop reads its sockets has no bound.
      */
-    private void holdUntilRead(long lagTicks) {
+    private void holdStallUntilSocketsRead(long lagTicks) {
         unreadStallTicks = Math.max(unreadStallTicks, lagTicks);
         long stall = ++stallCount;
         runAfterSocketReads(() -> {
@@ -89,32 +96,39 @@
         });
     }
 
-    /** The lag to expect, in ticks: the worst, halved for each second since, or that of the turn under way. */
+    /**
+     * Returns the lag to expect, in ticks: the worst lag, halved for each second since then, or the lag of the current
+     * iteration if that is larger.
+     */
     public long expectedTicks() {
         long now = clock.now();
-        return Math.max(decayedWorst(now), now - lastPulseTicks - PULSE_TICKS);
+        return Math.max(decayedWorstLag(now), now - lastMeasuredTicks - INTERVAL_TICKS);
     }
 
     /**
-     * How long, in ticks, what is read now may have waited for the event loop. Negative if the loop is on time.
+     * Returns how long, in ticks, data that is read now may have waited for the event loop. Negative if the loop is on
+     * time.
      *
-     * <p>Does not use the decayed worst lag: a second stall within a second, a little shorter than the first, would not
-     * show in it.
+     * <p>This does not use the decayed worst lag, because a second stall within a second that is slightly shorter than
+     * the first one would not show in it.
      */
     public long readDelayTicks() {
         long now = clock.now();
-        long recent = Math.max(unreadStallTicks, now - recentLagAt < PULSE_TICKS ? recentLagTicks : 0);
-        return Math.max(now - lastPulseTicks - PULSE_TICKS, recent);
+        long recent = Math.max(unreadStallTicks, now - recentLagAt < INTERVAL_TICKS ? recentLagTicks : 0);
+        return Math.max(now - lastMeasuredTicks - INTERVAL_TICKS, recent);
     }
 
-    /** How long, in ticks, the loop stalled up to this time or since then; 0 if it did not. */
+    /**
+     * Returns the duration, in ticks, of the latest stall if it ended after the given time or at most two intervals
+     * before it; otherwise 0.
+     */
     public long stallTicksSince(long time) {
-        return stallEndAt + 2 * PULSE_TICKS >= time ? stallTicks : 0;
+        return stallEndAt + 2 * INTERVAL_TICKS >= time ? stallTicks : 0;
     }
 
     /**
-     * Runs the action at once, or after a stall once all sockets have been read: what waits there, such as an endpoint
-     * list or a client's disconnect, may be older than the action and forbid it.
+     * Runs the action immediately or, after a stall, once all sockets have been read. Data that waits there, such as an
+     * endpoint list or a client's disconnect, may be older than the action and rule it out.
      */
     public void runWhenCaughtUp(Runnable action) {
         if (readDelayTicks() <= STALL_TICKS) {
@@ -124,12 +138,12 @@
         }
     }
 
-    /** Runs the action behind two timers that follow each other: the loop reads all sockets between them. */
+    /** Runs the action after two consecutive timers, because the event loop reads all sockets between them. */
     public void runAfterSocketReads(Runnable action) {
         vertx.setTimer(1, t -> vertx.setTimer(1, u -> action.run()));
     }
 
-    private long decayedWorst(long now) {
+    private long decayedWorstLag(long now) {
         return worstLagTicks >> Math.min(MAX_SHIFT, (now - worstLagAt) / HALF_LIFE_TICKS);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/eventloop/MonotonicClock.java
+++ b/sidecar/src/main/java/trestlegrade/eventloop/MonotonicClock.java
@@ -1,20 +1,19 @@
 package trestlegrade.eventloop;
 
 /**
- * A clock that never steps: the Unix time at its creation, counted on by the monotonic timer.
+ * A clock that never steps: the Unix time at its creation, advanced by the monotonic timer.
  *
- * <p>Its unit is the <em>tick</em>, a tenth of a millisecond. Names of times in ticks end in {@code Ticks}, except for
- * {@code now}.
+ * <p>Its unit is the <em>tick</em>, a tenth of a millisecond. Names of times in ticks end in {@code Ticks}, or in
+ * {@code At} for points in time, except for {@code now}.
  */
 public class MonotonicClock {
-    /** Ticks in one millisecond. */
     public static final long TICKS_PER_MILLI = 10;
 
     private static final long NANOS_PER_TICK = 100_000;
 
     private final long baseTicks = System.currentTimeMillis() * TICKS_PER_MILLI - System.nanoTime() / NANOS_PER_TICK;
 
-    /** The current time in ticks. */
+    /** Returns the current time in ticks. */
     public long now() {
         return baseTicks + System.nanoTime() / NANOS_PER_TICK;
     }
--- a/sidecar/src/main/java/trestlegrade/eventloop/TimerRoundingIoHandler.java
+++ b/sidecar/src/main/java/trestlegrade/eventloop/TimerRoundingIoHandler.java
@@ -9,11 +9,11 @@
 import trestlegrade.metrics.Counters;
 
 /**
- * Netty's I/O handler, with the wait for the next timer rounded up to whole milliseconds.
+ * An I/O handler of Netty that rounds the wait for the next timer up to whole milliseconds.
  *
- * <p>A selector waits in whole milliseconds and Netty rounds to the nearest. With up to half a millisecond left it asks
- * the selector again and again, without a wait, until the timer is due, which shows as processor time of an idle event
- * loop. Rounded up, a timer comes a millisecond late at most.
+ * <p>A selector waits in whole milliseconds, and Netty rounds to the nearest. With up to half a millisecond left, it
+ * polls the selector without a wait until the timer is due, so that an idle event loop uses processor time. With
+ * rounding up, a timer runs at most one millisecond late.
  */
 public final class TimerRoundingIoHandler implements IoHandler {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -27,7 +27,7 @@
         this.turns = turns;
     }
 
-    /** A factory whose handlers round up and count their turns. */
+    /** Returns a factory whose handlers round up and count the iterations of their event loops. */
     public static IoHandlerFactory wrap(IoHandlerFactory delegate, Counters.Turns turns) {
         return new IoHandlerFactory() {
             @Override
@@ -42,8 +42,11 @@
         };
     }
 
-    /** Rounds up nanoseconds; 0 or less means due, and the largest value means that there is no timer. */
-    static long wholeMilliseconds(long delayNanos) {
+    /**
+     * Rounds nanoseconds up to whole milliseconds. A delay of 0 or less means that the timer is due, and the largest
+     * value means that there is no timer; both are returned unchanged.
+     */
+    static long roundUpToMillis(long delayNanos) {
         return delayNanos <= 0 || delayNanos > Long.MAX_VALUE - NANOS_PER_MILLI
                 ? delayNanos
                 : (delayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
@@ -87,7 +90,7 @@
         return delegate.isCompatible(handle);
     }
 
-    /** The context of the turn under way, but for its delay. */
+    /** Delegates to the context of the current iteration, and rounds its delay up. */
     private static final class RoundingContext implements IoHandlerContext {
         private IoHandlerContext delegate;
 
@@ -98,7 +101,7 @@
 
         @Override
         public long delayNanos(long now) {
-            return wholeMilliseconds(delegate.delayNanos(now));
+            return roundUpToMillis(delegate.delayNanos(now));
         }
 
         @Override
--- a/sidecar/src/test/java/trestlegrade/eventloop/EventLoopLagTest.java
+++ b/sidecar/src/test/java/trestlegrade/eventloop/EventLoopLagTest.java
@@ -12,12 +12,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen beside load: of 20 transactions whose clients had left while the process was stopped, 20 were sent. The selector
- * had been interrupted, so timers ran first, and more than one pulse's time passed until the sockets were read.
+ * Guards against acting on old state after a stall. Under load, 20 of 20 transactions were sent although their clients
+ * had disconnected while the process was stopped: the interrupted selector let timers run first, and more than one
+ * measurement interval passed before the sockets were read.
  */
 class EventLoopLagTest {
     private long now;
-    private Handler<Long> pulse;
+    private Handler<Long> periodicTimer;
     private final List<Handler<Long>> timers = new ArrayList<>();
     private final EventLoopLag lag = new EventLoopLag(
             vertx(),
@@ -34,7 +35,7 @@
         return (Vertx) Proxy.newProxyInstance(
                 Vertx.class.getClassLoader(), new Class<?>[] {Vertx.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("setPeriodic")) {
-                        pulse = (Handler<Long>) arguments[1];
+                        periodicTimer = (Handler<Long>) arguments[1];
                     } else {
                         timers.add((Handler<Long>) arguments[1]);
                     }
@@ -49,21 +50,21 @@
     }
 
     @Test
-    void aStallIsOverOnceTheSocketsHaveBeenReadHoweverLateThatIs() {
-        pulse.handle(0L);
+    void aStallLastsUntilTheSocketsHaveBeenReadHoweverLate() {
+        periodicTimer.handle(0L);
         now += 4_000;
-        pulse.handle(0L);
-        // Not late enough by itself to count as a stall, and late enough to have forgotten the one before.
+        periodicTimer.handle(0L);
+        // Too short to count as a stall by itself, but longer than the interval in which a recent lag counts.
         now += 900;
         boolean[] done = {false};
         lag.runWhenCaughtUp(() -> done[0] = true);
-        assertFalse(done[0], "done before anything was read");
+        assertFalse(done[0], "ran before any socket was read");
         runTimers();
-        assertFalse(done[0], "done after the first of two reads");
+        assertFalse(done[0], "ran after the first of two timers");
         runTimers();
         assertTrue(done[0]);
-        pulse.handle(0L);
+        periodicTimer.handle(0L);
         lag.runWhenCaughtUp(() -> done[0] = false);
-        assertFalse(done[0], "still waits though all has been read");
+        assertFalse(done[0], "still waits although all sockets have been read");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/eventloop/TimerRoundingIoHandlerTest.java
+++ b/sidecar/src/test/java/trestlegrade/eventloop/TimerRoundingIoHandlerTest.java
@@ -14,7 +14,7 @@
 
 class TimerRoundingIoHandlerTest {
 
-    /** Nanoseconds until the next timer, and what the selector is told. */
+    /** Nanoseconds until the next timer, and the delay that is passed to the selector. */
     @ParameterizedTest
     @CsvSource({
         "0, 0",
@@ -27,16 +27,17 @@
         "9223372036854775807, 9223372036854775807",
         "9223372036854775000, 9223372036854775000"
     })
-    void roundsUpToWholeMilliseconds(long delay, long told) {
-        assertEquals(told, TimerRoundingIoHandler.wholeMilliseconds(delay));
+    void roundsUpToWholeMilliseconds(long delayNanos, long expectedNanos) {
+        assertEquals(expectedNanos, TimerRoundingIoHandler.roundUpToMillis(delayNanos));
     }
 
     /**
-     * Timers that fall due between two milliseconds, one after the other. Each takes a turn to be fetched and one to
-     * sleep again; rounded to the nearest, up to hundreds of turns went by before each was due.
+     * Runs timers that fall due between two milliseconds, one after the other. Each takes one iteration to be scheduled
+     * and one to wait. When the delay was rounded to the nearest millisecond, up to hundreds of iterations passed until
+     * each timer was due.
      */
     @Test
-    void sleepsUntilATimerIsDue() throws Exception {
+    void waitsUntilATimerIsDueWithoutBusyPolling() throws Exception {
         Counters.Turns turns = new Counters.Turns();
         EventLoopGroup loop =
                 new MultiThreadIoEventLoopGroup(1, TimerRoundingIoHandler.wrap(NioIoHandler.newFactory(), turns));
@@ -46,8 +47,8 @@
             for (int i = 0; i < 50; i++) {
                 loop.schedule(() -> {}, 2_450_000, TimeUnit.NANOSECONDS).get();
             }
-            long took = turns.all() - before;
-            assertTrue(took <= 50 * 4, took + " turns for 50 timers");
+            long iterations = turns.all() - before;
+            assertTrue(iterations <= 50 * 4, iterations + " iterations for 50 timers");
         } finally {
             loop.shutdownGracefully(0, 1, TimeUnit.SECONDS).get();
         }
