--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
@@ -16,17 +16,17 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * Watches discovery for changes of the endpoint list over HTTP, and renews the lease of the list. Belongs to the event
- * loop.
+ * Watches discovery for changes of the endpoint list over HTTP, and renews the lease of the list. Not thread-safe: it
+ * is confined to the event loop.
  *
- * <p>One watch is in use at a time. A silent one is suspected, and a replacement is opened beside it; the old one stays
- * until the replacement is heard, since it may only be late. When the last watch ends, the listener of failures decides
- * when {@link #watch} is called again; where the list is pushed, the watch is reopened here.
+ * <p>One watch is in use at a time. If it is silent, a replacement is opened in parallel. The silent watch stays open
+ * until the replacement receives data, because it may only be late. When the last watch ends, the failure callback
+ * decides when {@link #watch} is called again; where the list is pushed, this class reopens the watch itself.
  */
 public final class DiscoveryClient implements EndpointListSource {
     private static final long SILENCE_CHECK_INTERVAL_MILLIS = 100;
-    /** An agent answers in a few milliseconds, and nothing is served meanwhile. */
-    private static final long AGENT_ANSWER_TIMEOUT_MILLIS = 2_000;
+    /** An agent responds within a few milliseconds, and no request is served until then. */
+    private static final long AGENT_RESPONSE_TIMEOUT_MILLIS = 2_000;
 
     private final EventLoopContext loop;
     private final MonotonicClock clock;
@@ -44,18 +44,18 @@
     private long confirmedAt;
     private boolean leaseExpired;
     private DiscoveryWatch current;
-    /** Takes the place of the current watch, which is suspected, once it has been heard itself. */
+    /** Replaces the current watch, which is suspect, as soon as it receives data itself. */
     private DiscoveryWatch replacement;
 
     /**
      * Creates a client that opens no watch yet.
      *
-     * @param loop that all calls of this client come on
-     * @param version of the list that is known already; only later changes are asked for
-     * @param listener takes over the entries received
-     * @param onFailure is run when the last watch has ended and {@link #watch} is to be called again after a backoff
-     * @param lease is renewed with each sign that the list is up to date
-     * @param seed of the jitter
+     * @param loop the event loop on which all methods are called
+     * @param version the version of the list that is already known; only later changes are requested
+     * @param listener is notified of the entries received
+     * @param onFailure is run when the last watch has ended and {@link #watch} must be called again after a backoff
+     * @param lease is renewed each time that discovery shows that the list is up to date
+     * @param seed the seed of the jitter
      */
     public DiscoveryClient(
             EventLoopContext loop,
@@ -78,8 +78,8 @@
         confirmedAt = clock.now();
         Vertx vertx = loop.vertx();
         client = vertx.createHttpClient(new HttpClientOptions().setPipelining(false));
-        // After a stall of the event loop, what has arrived meanwhile is read before a watch counts as silent.
-        vertx.setPeriodic(SILENCE_CHECK_INTERVAL_MILLIS, timer -> loop.lag().runWhenCaughtUp(this::check));
+        // After an event loop stall, a watch is checked for silence only once the data that arrived has been read.
+        vertx.setPeriodic(SILENCE_CHECK_INTERVAL_MILLIS, timer -> loop.lag().runWhenCaughtUp(this::checkHealth));
     }
 
     @Override
@@ -109,7 +109,7 @@
         }
         DiscoveryWatch oldCurrent = current;
         DiscoveryWatch oldReplacement = replacement;
-        // Cleared first: the end of a watch that is not in use opens no other.
+        // Cleared first, because the end of the current watch would open another one.
         current = null;
         replacement = null;
         Stream.of(oldCurrent, oldReplacement)
@@ -117,22 +117,22 @@
                 .forEach(watch -> watch.end(DiscoveryWatch.EndReason.MOVED, "SIGHUP"));
         address = newAddress;
         lease.discoveryMoved(clock.now());
-        schedule.moved();
+        schedule.addressChanged();
         watch();
     }
 
     /**
      * {@inheritDoc}
      *
-     * <p>Where the list is pushed, a new process counts as notified of all that its agent has from its first moment, so
-     * the agent's first message is waited for, 2 s at most; elsewhere the initial list may be relied on.
+     * <p>Where the list is pushed, a new process counts as notified of everything that its agent knows as soon as it
+     * starts. It therefore waits for the agent's first message, for 2 s at most. Elsewhere the initial list is usable.
      */
     @Override
     public Future<Void> firstListReceived() {
         if (!schedule.pushed()) {
             return Future.succeededFuture();
         }
-        loop.vertx().setTimer(AGENT_ANSWER_TIMEOUT_MILLIS, timer -> firstMessage.tryComplete());
+        loop.vertx().setTimer(AGENT_RESPONSE_TIMEOUT_MILLIS, timer -> firstMessage.tryComplete());
         return firstMessage.future();
     }
 
@@ -155,17 +155,17 @@
         watch.open(client, schedule.connectTimeoutMillis());
     }
 
-    /** Runs at short intervals: notices the end of the lease, a list that has grown old, and a silent watch. */
-    private void check() {
+    /** Periodically checks for an expired lease, for an old list and for a silent watch. */
+    private void checkHealth() {
         logLeaseChange();
-        warnOfOldList();
+        warnIfListIsOld();
         if (current == null) {
             return;
         }
         long now = clock.now();
         switch (current.state(now)) {
             case SILENT ->
-                current.end(DiscoveryWatch.EndReason.SILENT, "nothing for " + current.quietMillis(now) + " ms");
+                current.end(DiscoveryWatch.EndReason.SILENT, "no data for " + current.quietMillis(now) + " ms");
             case SUSPECT -> replaceCurrent(now);
             case LIVE -> {}
         }
@@ -188,7 +188,7 @@
         logList(expired ? "expired" : "renewed", ageMillis());
     }
 
-    private void warnOfOldList() {
+    private void warnIfListIsOld() {
         long unconfirmedMillis = ageMillis();
         if (ageWarning.isDue(unconfirmedMillis)) {
             logList("unconfirmed", unconfirmedMillis);
@@ -196,9 +196,9 @@
     }
 
     private void logList(String code, long unconfirmedMillis) {
-        long heldVersion = version;
+        long loggedVersion = version;
         counters.log.add(
-                () -> Logger.warn("list code={} version={} unconfirmed_ms={}", code, heldVersion, unconfirmedMillis));
+                () -> Logger.warn("list code={} version={} unconfirmed_ms={}", code, loggedVersion, unconfirmedMillis));
     }
 
     private final class WatchOwner implements DiscoveryWatch.Owner {
@@ -209,36 +209,37 @@
         }
 
         @Override
-        public void nothingListens(long openedAt) {
+        public void connectionRefused(long openedAt) {
             lease.discoveryUnreachable(openedAt);
         }
 
         @Override
         public void connected() {
             if (schedule.pushed()) {
-                // An agent sends what it has at once. While it is cut off itself it is silent, and learns nothing.
+                // An agent sends all that it knows immediately. While it is cut off from discovery, it is silent and
+                // learns of no changes.
                 confirmed();
             }
         }
 
         @Override
-        public void heard(DiscoveryWatch watch) {
+        public void bytesReceived(DiscoveryWatch watch) {
             if (replacement == watch) {
-                DiscoveryWatch suspected = current;
+                DiscoveryWatch suspect = current;
                 current = watch;
                 replacement = null;
-                suspected.end(DiscoveryWatch.EndReason.SILENT, "another watch speaks");
+                suspect.end(DiscoveryWatch.EndReason.SILENT, "replacement watch received data");
             }
         }
 
         @Override
-        public void received(EndpointListMessage message) {
+        public void messageReceived(EndpointListMessage message) {
             firstMessage.tryComplete();
             schedule.messageReceived();
             if (message.entries() != null) {
                 listener.updated(message.entries(), message.snapshot());
             }
-            // The version advances only with what was taken over: the rest is asked for again.
+            // The version advances only with a message that was applied in full; other changes are requested again.
             if (message.fault() == null) {
                 version = message.version();
             }
@@ -246,7 +247,7 @@
 
         @Override
         public void confirmed() {
-            // What is read after a stall of the event loop may have been written before it.
+            // Data that is read after an event loop stall may have been written before the stall.
             confirmedAt = clock.now() - Math.max(0, loop.lag().readDelayTicks());
             lease.renew(confirmedAt);
         }
@@ -271,7 +272,7 @@
                 schedule.agentWatchEnded();
                 watch();
             } else {
-                schedule.watchEnded(watch.openedAt(), watch.delivered());
+                schedule.watchEnded(watch.openedAt(), watch.hasReceivedMessages());
                 onFailure.run();
             }
         }
--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
@@ -15,8 +15,8 @@
 import trestlegrade.metrics.Counters;
 
 /**
- * One watch on discovery: one connection with one streamed response, from its opening to its end. It is not reopened;
- * its owner opens another. All calls come and go on the event loop.
+ * One watch on discovery: one connection with one streamed response. It is not reopened after its end; its owner opens
+ * another one instead. All calls and callbacks are on the event loop.
  */
 final class DiscoveryWatch {
     private static final String WATCH_PATH = "/catalog/members?stream=1&index=";
@@ -32,33 +32,33 @@
     private HttpClientConnection connection;
     private boolean ended;
 
-    /** Is notified of what happens to its watches, in order. */
+    /** Is notified of the events of its watches, in order. */
     interface Owner {
-        /** Returns the version of the list after which changes are wanted. */
+        /** Returns the version of the list after which changes are requested. */
         long version();
 
-        /** Nothing listens at the address; follows {@link #ended}. */
-        void nothingListens(long openedAt);
+        /** Nothing listens at the address. Called after {@link #ended}. */
+        void connectionRefused(long openedAt);
 
         void connected();
 
-        /** Bytes have come, which may be part of a message or an empty line. */
-        void heard(DiscoveryWatch watch);
+        /** Bytes were received, which may be part of a message or an empty line. */
+        void bytesReceived(DiscoveryWatch watch);
 
-        void received(EndpointListMessage message);
+        void messageReceived(EndpointListMessage message);
 
-        /** All that discovery has is known here: no part of a message is outstanding. */
+        /** All changes that discovery has sent are known: no message is incomplete. */
         void confirmed();
 
-        /** Called once. */
+        /** Called once for each watch. */
         void ended(DiscoveryWatch watch);
     }
 
-    /** Why a watch ended, as the log and the counters show it. */
+    /** Why a watch ended; the code appears in the log and in the counters. */
     enum EndReason {
         CONNECT_FAILED("connect-failed"),
         CLOSED("closed"),
-        /** Discovery answered with a status other than 200; unlike a refused connection this renews no lease. */
+        /** The response's status is not 200. This does not renew the lease, while a refused connection does. */
         REFUSED("refused"),
         MALFORMED("malformed"),
         SILENT("silent"),
@@ -81,13 +81,13 @@
         liveness = new WatchLiveness(openedAt, suspicionJitterTicks);
     }
 
-    /** Connects and asks for changes; does nothing if the watch was ended while it waited to be opened. */
+    /** Connects and requests changes. Does nothing if the watch was ended while it waited to be opened. */
     void open(HttpClientAgent client, int connectTimeoutMillis) {
         if (ended) {
             return;
         }
         openedAt = clock.now();
-        liveness.heard(openedAt);
+        liveness.dataReceived(openedAt);
         client.connect(new HttpConnectOptions()
                         .setServer(address)
                         .setHost(address.host())
@@ -101,8 +101,8 @@
         return openedAt;
     }
 
-    /** Returns whether any message has come. */
-    boolean delivered() {
+    /** Returns whether any message was received. */
+    boolean hasReceivedMessages() {
         return messages > 0;
     }
 
@@ -138,11 +138,11 @@
     private void connectFailed(Throwable cause) {
         end(EndReason.CONNECT_FAILED, cause);
         if (isRefused(cause)) {
-            owner.nothingListens(openedAt);
+            owner.connectionRefused(openedAt);
         }
     }
 
-    /** Tells that nothing listens at the address from all other failures on the way or on this side. */
+    /** Distinguishes a refused connection from all other failures on the network or on this side. */
     private static boolean isRefused(Throwable cause) {
         return cause instanceof ConnectException
                 && String.valueOf(cause.getMessage()).startsWith("Connection refused");
@@ -150,7 +150,7 @@
 
     private void connected(HttpClientConnection newConnection) {
         connection = newConnection;
-        connection.closeHandler(v -> end(EndReason.CLOSED, "connection ended"));
+        connection.closeHandler(v -> end(EndReason.CLOSED, "connection closed"));
         if (ended) {
             connection.close();
             return;
@@ -169,19 +169,20 @@
     }
 
     private void read(HttpClientResponse response) {
-        liveness.heard(clock.now());
-        EndpointListParser parser = new EndpointListParser(this::received);
+        liveness.dataReceived(clock.now());
+        EndpointListParser parser = new EndpointListParser(this::parsed);
         response.exceptionHandler(e -> end(EndReason.CLOSED, e));
-        response.endHandler(v -> end(EndReason.CLOSED, "answer ended"));
+        response.endHandler(v -> end(EndReason.CLOSED, "response ended"));
         response.handler(bytes -> read(bytes, parser));
     }
 
     private void read(Buffer bytes, EndpointListParser parser) {
-        // Empty lines within an unfinished object are no sign of life: the object may never be completed.
+        // An empty line within an incomplete object does not count as received data, because the object may never be
+        // completed.
         if (parser.betweenObjects() || !EndpointListParser.isBlank(bytes)) {
-            liveness.heard(clock.now());
+            liveness.dataReceived(clock.now());
         }
-        owner.heard(this);
+        owner.bytesReceived(this);
         if (ended) {
             return;
         }
@@ -195,14 +196,14 @@
         }
     }
 
-    private void received(JsonObject json) {
+    private void parsed(JsonObject json) {
         if (ended) {
             return;
         }
         messages++;
         counters.listLines++;
         EndpointListMessage message = EndpointListMessage.of(json);
-        owner.received(message);
+        owner.messageReceived(message);
         if (message.fault() != null) {
             malformed(message.fault());
         }
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointListMessage.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointListMessage.java
@@ -6,11 +6,11 @@
 /**
  * One message of a watch: the fields {@code index}, {@code snapshot} and {@code endpoints} on the wire.
  *
- * @param version the list's version with this message; meaningful only without a fault
- * @param snapshot whether the entries are all endpoints; false if the message does not say, since a message that may be
- *     partial must not drop the endpoints that it leaves out
- * @param entries the entries, or null if there are none that can be taken over
- * @param fault which field is malformed and how, or null if none is; entries may be usable all the same
+ * @param version the version of the list after this message; valid only if there is no fault
+ * @param snapshot whether the entries are all endpoints; false if the message does not say so, because a message that
+ *     may be partial must not remove the endpoints that it leaves out
+ * @param entries the entries, or null if there is no usable array of them
+ * @param fault which field is malformed and how, or null if none is; the entries may be usable despite a fault
  */
 record EndpointListMessage(long version, boolean snapshot, JsonArray entries, String fault) {
 
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointListParser.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointListParser.java
@@ -7,50 +7,51 @@
 import java.util.function.Consumer;
 
 /**
- * Incremental parser of a watch's body: a sequence of JSON objects, each handed over with its last byte, however they
- * are laid out (on one line or over many) and wherever the bytes are cut. One parser serves one watch.
+ * Incremental parser of the body of a watch, which is a sequence of JSON objects. Each object is passed on as soon as
+ * its last byte arrives, whatever its layout (on one line or on many) and however the bytes are split into buffers. One
+ * parser serves one watch.
  */
 final class EndpointListParser {
-    /** Longest object, in bytes: a list of ten thousand endpoints, indented. */
+    /** Enough for an indented list of ten thousand endpoints. */
     private static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private final JsonParser parser = JsonParser.newParser().objectValueMode();
-    private int unfinishedBytes;
+    private int incompleteBytes;
 
     EndpointListParser(Consumer<JsonObject> handler) {
         parser.handler(event -> {
             if (event.type() != JsonEventType.VALUE || !event.isObject()) {
-                throw new MalformedEndpointListException("an object must stand there, not " + event.type());
+                throw new MalformedEndpointListException("expected a JSON object, not " + event.type());
             }
-            unfinishedBytes = 0;
+            incompleteBytes = 0;
             handler.accept(event.objectValue());
         });
     }
 
-    /** Returns whether the latest bytes ended an object, or belonged to none. */
+    /** Returns whether the latest bytes completed an object or belonged to none. */
     boolean betweenObjects() {
-        return unfinishedBytes == 0;
+        return incompleteBytes == 0;
     }
 
     /**
      * Parses the next bytes.
      *
-     * @throws MalformedEndpointListException if a value is no object, or an object is too long
-     * @throws io.vertx.core.json.DecodeException if they are not JSON
+     * @throws MalformedEndpointListException if a value is not an object, or an object is too long
+     * @throws io.vertx.core.json.DecodeException if the bytes are not JSON
      */
     void read(Buffer bytes) {
-        // The empty lines of an idle watch belong to no object and need no parser.
-        if (unfinishedBytes == 0 && isBlank(bytes)) {
+        // The empty lines of an idle watch belong to no object, so the parser does not need them.
+        if (incompleteBytes == 0 && isBlank(bytes)) {
             return;
         }
-        unfinishedBytes += bytes.length();
-        if (unfinishedBytes > MAX_OBJECT_BYTES) {
-            throw new MalformedEndpointListException("an object of over " + MAX_OBJECT_BYTES + " bytes");
+        incompleteBytes += bytes.length();
+        if (incompleteBytes > MAX_OBJECT_BYTES) {
+            throw new MalformedEndpointListException("JSON object exceeds " + MAX_OBJECT_BYTES + " bytes");
         }
         parser.handle(bytes);
     }
 
-    /** Returns whether the bytes are white space alone. */
+    /** Returns whether the bytes are only white space. */
     static boolean isBlank(Buffer bytes) {
         for (int i = 0; i < bytes.length(); i++) {
             if (bytes.getByte(i) > ' ') {
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointListSource.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointListSource.java
@@ -8,27 +8,28 @@
  * A source of the endpoint list. To add one, implement this interface and create it in {@code runtime.Sidecar} in place
  * of {@link DiscoveryClient}.
  *
- * <p>A source hands each message to the listener it was created with and renews the endpoint list lease with each sign
- * that it has no unknown changes. Where lists are polled, it reports a watch that ended without a successor; the
- * decisions then call {@link #watch()} after a backoff. All methods are called on the sidecar's event loop.
+ * <p>A source passes each message to the listener it was created with. It renews the lease of the endpoint list each
+ * time that discovery shows that there are no unknown changes. Where lists are polled, it reports when the last watch
+ * has ended, and the load balancer then calls {@link #watch()} after a backoff. All methods are called on the sidecar's
+ * event loop.
  */
 public interface EndpointListSource {
 
-    /** Starts a watch for changes after {@link #version()}; does nothing if one is under way. */
+    /** Starts a watch for changes after {@link #version()}. Does nothing if one is in progress. */
     void watch();
 
-    /** Adopts settings: called before {@link #watch()}, and again at each SIGHUP with new settings. */
+    /** Applies settings. Called before {@link #watch()}, and again with new settings at each SIGHUP. */
     void applySettings(PolicySettings settings);
 
-    /** Watches at another address from now on; the list and its version stay. Does nothing if it is the same. */
+    /** Watches another address from now on, and keeps the list and its version. Does nothing if it is the same. */
     void changeAddress(SocketAddress newAddress);
 
-    /** Completes once the list may be relied on for serving; never fails. */
+    /** Returns a future that completes once the list is valid for serving requests. It never fails. */
     Future<Void> firstListReceived();
 
-    /** Returns the version of the list that was taken over last. */
+    /** Returns the version of the list that was applied last. */
     long version();
 
-    /** Returns the milliseconds since the list was last confirmed. */
+    /** Returns the time since the list was last confirmed, in milliseconds. */
     long ageMillis();
 }
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointRegistry.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointRegistry.java
@@ -14,57 +14,57 @@
 import trestlegrade.policy.endpoint.EndpointUpdate;
 
 /**
- * The endpoints by id, name and address, as the endpoint list last gave them, and the numbers of zones and kinds. Not
- * thread-safe: it belongs to the event loop.
+ * The endpoints by id, name and address, as last listed, and the numbers of zones and kinds. Not thread-safe: it is
+ * confined to the event loop.
  */
 public final class EndpointRegistry {
-    /** Most names in one line of the log, however many endpoints drain at once. */
+    /** Bounds the length of a log line, because many endpoints may drain at once. */
     private static final int MAX_LOGGED_NAMES = 16;
 
     private final LongObjectHashMap<Endpoint> byId = new LongObjectHashMap<>();
     private final NameNumbering zones;
     private final NameNumbering kinds;
-    private final Watcher watcher;
+    private final Listener listener;
     private final Counters counters;
-    /** Names of the endpoints that stopped taking new requests with the list under way. */
-    private final List<String> stopped = new ArrayList<>();
-    /** Number of the list under way; an endpoint that a snapshot leaves out bears an earlier one. */
+    /** Names of the endpoints that the current list has made inactive. */
+    private final List<String> deactivated = new ArrayList<>();
+    /** Number of the current list. An endpoint that a snapshot leaves out has an earlier number. */
     private int listNumber;
 
-    /** One endpoint: where it listens and whether it takes new requests. */
+    /** One endpoint, with its address and whether it accepts new requests. */
     public static final class Endpoint {
         public final long id;
         public final String name;
         public SocketAddress address;
-        /** Whether it takes new requests: it is listed as ready. */
+        /** Whether the endpoint accepts new requests, because it is listed as ready. */
         public boolean active;
 
         private EndpointUpdate update;
         private long launchedTicks;
         private int listNumber;
 
-        /** One that has not been listed yet. */
+        /** Creates an endpoint that has not been listed yet. */
         public Endpoint(long id, String name) {
             this.id = id;
             this.name = name;
         }
     }
 
-    /** Is notified of endpoints that left, drain, moved or restarted: connections open to them are of no more use. */
-    public interface Watcher {
-        /** Called on the event loop, while the list is taken over. */
-        void outdated(Endpoint endpoint);
+    /** Is notified of endpoints that left, drain, moved or restarted, to which open connections are of no more use. */
+    public interface Listener {
+        /** Called on the event loop, while the list is applied. */
+        void endpointOutdated(Endpoint endpoint);
     }
 
-    /** Starts without endpoints; the zones and kinds given have the numbers of their places. */
-    public EndpointRegistry(List<String> zones, List<String> kinds, Watcher watcher, Counters counters) {
+    /** Creates a registry without endpoints. The given zones and kinds are numbered by their positions. */
+    public EndpointRegistry(List<String> zones, List<String> kinds, Listener listener, Counters counters) {
         this.zones = new NameNumbering(zones);
         this.kinds = new NameNumbering(kinds);
-        this.watcher = watcher;
+        this.listener = listener;
         this.counters = counters;
     }
 
-    /** Returns all endpoints that have not left, as they were last listed. */
+    /** Returns all endpoints that have not left, as last listed. */
     public List<EndpointUpdate> all() {
         List<EndpointUpdate> updates = new ArrayList<>(byId.size());
         for (var each : byId) {
@@ -73,7 +73,7 @@
         return updates;
     }
 
-    /** Returns a zone's number; it holds for all settings until the process ends. */
+    /** Returns the number of a zone. It stays the same for all settings until the process ends. */
     public int zoneNumber(String name) {
         return zones.numberOf(name);
     }
@@ -83,7 +83,7 @@
         return byId.get(id);
     }
 
-    /** Returns whether any endpoint takes new requests. */
+    /** Returns whether any endpoint accepts new requests. */
     public boolean anyActive() {
         for (var each : byId) {
             if (each.value.active) {
@@ -94,20 +94,20 @@
     }
 
     /**
-     * Takes over entries of the list and returns what the decisions need of them. Malformed entries are counted, logged
-     * and used as far as they go.
+     * Applies entries of the list and returns the updates for the load balancer. Malformed entries are counted, logged
+     * and applied as far as they are usable.
      *
-     * @param snapshot whether the entries are all endpoints, so that those not among them have left
+     * @param snapshot whether the entries are all endpoints, so that endpoints without an entry have left
      */
     public List<EndpointUpdate> applyList(JsonArray entries, boolean snapshot) {
         listNumber++;
-        stopped.clear();
+        deactivated.clear();
         List<EndpointUpdate> updates = new ArrayList<>(entries.size());
         for (int i = 0; i < entries.size(); i++) {
             try {
                 apply(new EndpointEntry(entries.getJsonObject(i)), updates);
             } catch (RuntimeException e) {
-                reject(entries.getValue(i), e, updates);
+                handleMalformed(entries.getValue(i), e, updates);
             }
         }
         if (snapshot) {
@@ -129,7 +129,7 @@
             }
             return;
         }
-        // All fields are read before any is taken over, so that a malformed one changes nothing.
+        // All fields are read before any is applied, so that an entry with a malformed field changes nothing here.
         double weight = entry.weight();
         long launchedTicks = entry.launchedTicks();
         SocketAddress address = entry.address();
@@ -151,7 +151,7 @@
         endpoint.update = update;
         byId.put(id, endpoint);
         if (outdated) {
-            watcher.outdated(endpoint);
+            listener.endpointOutdated(endpoint);
         }
     }
 
@@ -165,13 +165,14 @@
         if (state == EndpointUpdate.State.READY) {
             endpoint.active = true;
         } else {
-            stop(endpoint);
+            deactivate(endpoint);
         }
     }
 
     /**
-     * Two endpoints cannot listen at one address: the one that started last does, whatever the list says of the other.
-     * Removes another endpoint from this one's address; returns false if the other one started later and stays.
+     * Removes another active endpoint that has the same address. Returns false, and keeps the other one, if the other
+     * one started later. Two endpoints cannot listen at one address, so the one that started last does, whatever the
+     * list says about the other.
      */
     private boolean evictFromAddress(Endpoint endpoint, List<EndpointUpdate> updates) {
         for (var each : byId.values()) {
@@ -188,7 +189,7 @@
         return true;
     }
 
-    private void reject(Object entry, RuntimeException cause, List<EndpointUpdate> updates) {
+    private void handleMalformed(Object entry, RuntimeException cause, List<EndpointUpdate> updates) {
         counters.badEntries++;
         counters.log.add(() -> Logger.warn("list code=bad-entry cause={} entry={}", cause.getMessage(), entry));
         if (entry instanceof JsonObject json) {
@@ -197,8 +198,8 @@
     }
 
     /**
-     * Uses a malformed entry as far as it goes. If it identifies an endpoint by name or else by address, it still says
-     * either that this one drains or has left, or that it is still there as it was last listed.
+     * Applies a malformed entry as far as it is usable. If it identifies an endpoint by name, or else by address, it
+     * still says that the endpoint drains or has left, or else that the endpoint is still there as last listed.
      */
     private void applyMalformed(EndpointEntry entry, List<EndpointUpdate> updates) {
         Endpoint known = identify(entry);
@@ -216,8 +217,8 @@
         known.update = draining ? known.update.draining() : known.update;
         updates.add(known.update);
         if (draining && known.active) {
-            stop(known);
-            watcher.outdated(known);
+            deactivate(known);
+            listener.endpointOutdated(known);
         }
     }
 
@@ -226,10 +227,10 @@
         if (name.isPresent()) {
             return byId.get(id(name.get()));
         }
-        return entry.addressText().map(this::at).orElse(null);
+        return entry.addressText().map(this::findByAddress).orElse(null);
     }
 
-    private Endpoint at(String address) {
+    private Endpoint findByAddress(String address) {
         for (var each : byId.values()) {
             if (each.value.address.toString().equals(address)) {
                 return each.value;
@@ -248,30 +249,30 @@
         unlisted.forEach(this::remove);
     }
 
-    /** Forgets an endpoint; attempts in flight to it keep it until they end. */
+    /** Removes an endpoint. Attempts in flight to it keep a reference until they end. */
     private void remove(Endpoint endpoint) {
         byId.remove(endpoint.id);
-        stop(endpoint);
-        watcher.outdated(endpoint);
+        deactivate(endpoint);
+        listener.endpointOutdated(endpoint);
     }
 
-    private void stop(Endpoint endpoint) {
+    private void deactivate(Endpoint endpoint) {
         if (endpoint.active) {
             endpoint.active = false;
-            stopped.add(endpoint.name);
+            deactivated.add(endpoint.name);
         }
     }
 
     private void logApplied(int entries, boolean snapshot) {
         int known = byId.size();
-        int stops = stopped.size();
-        List<String> names = List.copyOf(stopped.subList(0, Math.min(MAX_LOGGED_NAMES, stops)));
+        int stopped = deactivated.size();
+        List<String> names = List.copyOf(deactivated.subList(0, Math.min(MAX_LOGGED_NAMES, stopped)));
         counters.log.add(() -> Logger.info(
                 "list code=applied whole={} entries={} known={} stopped={} names={}",
                 snapshot,
                 entries,
                 known,
-                stops,
+                stopped,
                 names));
     }
 
@@ -280,8 +281,8 @@
     }
 
     /**
-     * Returns the same id at every sidecar; it is made of two hashes of 32 bits, since one alone is likelier to
-     * collide.
+     * Returns the id for a name, which is the same at every sidecar. It combines two 32-bit hashes, because a single
+     * hash is more likely to collide.
      */
     private static long id(String name) {
         CRC32 crc = new CRC32();
--- a/sidecar/src/main/java/trestlegrade/discovery/ListAgeWarning.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/ListAgeWarning.java
@@ -1,16 +1,17 @@
 package trestlegrade.discovery;
 
 /**
- * Decides when to warn that discovery has not confirmed the endpoint list. The lease of the list doesn't tell that: it
- * is renewed while connections to discovery's address are refused, as after a move that this sidecar wasn't told of.
+ * Decides when to warn that discovery has not confirmed the endpoint list. The lease of the list does not show this,
+ * because it is renewed while connections to discovery's address are refused. That is also the case after discovery has
+ * moved to an address that this sidecar was not notified of.
  */
 final class ListAgeWarning {
-    /** Discovery confirms the list every 2 s; a restart of it takes some seconds. */
+    /** Discovery confirms the list every 2 s, and takes some seconds to restart. */
     static final long FIRST_AGE_MILLIS = 10_000;
 
     private long nextAgeMillis = FIRST_AGE_MILLIS;
 
-    /** Whether to warn at this age of the list: at the first limit, and each time that it has doubled. */
+    /** Returns whether to warn at this age: at the first limit, and each time that the age has doubled since. */
     boolean isDue(long ageMillis) {
         if (ageMillis < FIRST_AGE_MILLIS) {
             nextAgeMillis = FIRST_AGE_MILLIS;
--- a/sidecar/src/main/java/trestlegrade/discovery/NameNumbering.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/NameNumbering.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Numbers names in the order of their first appearance; a number holds for the life of the process. */
+/** Numbers names in the order of their first appearance. A number stays the same until the process ends. */
 final class NameNumbering {
-    /** Fleets of some hundreds of endpoints may have nearly as many zones and kinds. */
+    /** A fleet of some hundreds of endpoints may have nearly as many zones and kinds. */
     private static final int MAX_NAMES = 1024;
 
     private final List<String> names;
@@ -14,7 +14,7 @@
         names = new ArrayList<>(initial);
     }
 
-    /** Returns the name's number; once there are too many names, all further ones share the last number. */
+    /** Returns the number of a name. Once there are too many names, all further ones share the last number. */
     int numberOf(String name) {
         int number = names.indexOf(name);
         if (number >= 0) {
--- a/sidecar/src/main/java/trestlegrade/discovery/WatchLiveness.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/WatchLiveness.java
@@ -1,42 +1,46 @@
 package trestlegrade.discovery;
 
 /**
- * Detects that a watch has fallen silent, from the time since it was last heard. Times are ticks (tenths of a
- * millisecond).
+ * Detects a silent watch by the time since it last received data. Times are ticks (tenths of a millisecond).
  *
- * <p>Discovery writes an empty line every 2 s while nothing changes. A watch whose connection is dead delivers nothing
- * and does not end, as after a cut of the network; changes that it misses count as notified 6 s after its last message.
+ * <p>Discovery writes an empty line every 2 s while nothing changes. A watch whose connection is dead, as in a network
+ * partition, delivers nothing and does not end. Changes that it misses count as notified 6 s after its last message.
  */
 final class WatchLiveness {
     /** Two empty lines are missing. */
     private static final long SILENT_AFTER_TICKS = 45_000;
-    /** One empty line is missing; half a second is left for one that is late. */
+    /** One empty line is missing, with half a second left for one that is late. */
     private static final long SUSPECT_AFTER_TICKS = 25_000;
 
-    /** What the time since a watch was last heard says of it. */
+    /** The state of a watch, judged by the time since it last received data. */
     enum State {
         LIVE,
-        /** It may be dead or only late: a replacement is opened beside it. */
+        /** The watch may be dead or only late, so a replacement is opened in parallel. */
         SUSPECT,
-        /** It is dead: it is closed. */
+        /** The watch is dead, so it is closed. */
         SILENT
     }
 
     private final long suspectAfterTicks;
-    private long heardAt;
+    private long receivedAt;
 
-    /** Spreads the suspicion of a whole fleet's watches, which may fall silent at once, by this sidecar's jitter. */
+    /**
+     * Starts as live.
+     *
+     * @param jitterTicks extends the time until the watch is suspect; differs between the sidecars of a fleet, because
+     *     all their watches may fall silent at once
+     */
     WatchLiveness(long now, long jitterTicks) {
-        heardAt = now;
+        receivedAt = now;
         suspectAfterTicks = SUSPECT_AFTER_TICKS + jitterTicks;
     }
 
-    void heard(long now) {
-        heardAt = now;
+    void dataReceived(long now) {
+        receivedAt = now;
     }
 
     long quietTicks(long now) {
-        return now - heardAt;
+        return now - receivedAt;
     }
 
     State state(long now) {
--- a/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
@@ -5,16 +5,16 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * When the next watch may be opened. Times are ticks (tenths of a millisecond) unless the name says otherwise.
+ * Decides when the next watch may be opened. Times are ticks (tenths of a millisecond) unless the name says otherwise.
  *
- * <p>Where lists are polled, the decisions back off from watches that fail; this schedule adds the delays that they do
- * not know of. Where lists are pushed, an agent beside the sidecar serves it alone, and a watch is reopened at once,
- * since what the agent learns counts as notified whether a watch is open or not.
+ * <p>Where lists are polled, the load balancer delays the next watch after a failure, and this schedule adds the delays
+ * that the load balancer does not cover. Where lists are pushed, an agent on the same host serves this sidecar alone. A
+ * watch on it is reopened immediately, because a change that the agent knows counts as notified even without a watch.
  */
 final class WatchSchedule {
     /**
-     * Least time between two watches that deliver something and end at once: they do not count as failures, so that no
-     * backoff slows them down.
+     * Minimum time between two watches that deliver a message and end at once. They do not count as failures, so no
+     * backoff limits their rate.
      */
     private static final long MIN_INTERVAL_TICKS = 10_000;
 
@@ -22,7 +22,7 @@
 
     private static final int AGENT_CONNECT_TIMEOUT_MILLIS = 100;
     private static final long AGENT_INITIAL_DELAY_TICKS = 100;
-    /** Well under any grace for draining endpoints. */
+    /** Well below the drain grace of any endpoint. */
     private static final long AGENT_MAX_DELAY_TICKS = 1_000;
 
     private final MonotonicClock clock;
@@ -39,7 +39,7 @@
         this.seed = seed;
     }
 
-    /** Adopts settings; the first time, it delays the first watch, since a whole fleet may start at once. */
+    /** Applies settings. The first call delays the first watch, because a whole fleet may start at once. */
     void applySettings(PolicySettings settings) {
         pushed = !settings.listPolled();
         boolean first = backoff == null;
@@ -50,7 +50,7 @@
         minIntervalTicks = Math.min(MIN_INTERVAL_TICKS, settings.maxPollIntervalTicks() / 4);
     }
 
-    /** Returns whether an agent beside this sidecar pushes the list. */
+    /** Returns whether an agent on this sidecar's host pushes the list. */
     boolean pushed() {
         return pushed;
     }
@@ -68,7 +68,7 @@
         return now >= replaceNotBefore;
     }
 
-    /** Draws this sidecar's delay within what is spread over the fleet before a silent watch is replaced. */
+    /** Returns this sidecar's random delay before it replaces a silent watch, which spreads the calls of a fleet. */
     long replacementJitterTicks() {
         return backoff.beforeReplacement();
     }
@@ -77,23 +77,23 @@
         agentDelayTicks = AGENT_INITIAL_DELAY_TICKS;
     }
 
-    /** The address has changed, for the whole fleet at once. */
-    void moved() {
+    /** Delays the next watch after a change of the address, because the address changes for the whole fleet at once. */
+    void addressChanged() {
         openNotBefore = clock.now() + backoff.beforeReplacement();
     }
 
-    /** The last watch on an agent has ended. */
+    /** Schedules the next watch after the last watch on an agent has ended. */
     void agentWatchEnded() {
         openNotBefore = clock.now() + agentDelayTicks;
         agentDelayTicks = Math.min(2 * agentDelayTicks, AGENT_MAX_DELAY_TICKS);
     }
 
-    /** The last watch on discovery has ended; the decisions delay the next one. */
-    void watchEnded(long openedAt, boolean delivered) {
-        openNotBefore = delivered ? openedAt + minIntervalTicks : 0;
+    /** Schedules the next watch after the last one on discovery has ended. The load balancer's backoff also applies. */
+    void watchEnded(long openedAt, boolean receivedMessages) {
+        openNotBefore = receivedMessages ? openedAt + minIntervalTicks : 0;
     }
 
-    /** A replacement has ended before it was heard. */
+    /** Delays the next replacement after one has ended without data. */
     void replacementEnded() {
         replaceNotBefore = clock.now() + minIntervalTicks;
     }
--- a/sidecar/src/test/java/trestlegrade/discovery/EndpointListMessageTest.java
+++ b/sidecar/src/test/java/trestlegrade/discovery/EndpointListMessageTest.java
@@ -7,8 +7,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A malformed message is asked for again, but its entries count if they can be read: one of them may say that an
- * endpoint drains. A message that does not say whether it is a snapshot must not drop what it leaves out.
+ * A malformed message is requested again, but its entries are applied if they are readable, because one of them may say
+ * that an endpoint drains. A message that does not say whether it is a snapshot must not remove the endpoints that it
+ * leaves out.
  */
 class EndpointListMessageTest {
 
--- a/sidecar/src/test/java/trestlegrade/discovery/EndpointListParserTest.java
+++ b/sidecar/src/test/java/trestlegrade/discovery/EndpointListParserTest.java
@@ -27,10 +27,10 @@
             new JsonObject().put("index", 9).put("endpoints", new JsonArray()),
             new JsonObject().put("index", 1L << 40).put("x", new JsonObject().put("y", new JsonArray().add("[{"))));
 
-    /** However the objects are laid out and wherever the bytes are cut, each is handed over with its last byte. */
+    /** Each object is passed on with its last byte, whatever its layout and however the bytes are split. */
     @ParameterizedTest
     @ValueSource(strings = {"lines", "indented", "indented, CRLF", "no space between", "empty lines between"})
-    void objectsAreHandedOverAsTheyEnd(String layout) {
+    void passesOnEachObjectWithItsLastByte(String layout) {
         List<byte[]> parts = new ArrayList<>();
         for (JsonObject line : LINES) {
             String text = layout.startsWith("indented") ? line.encodePrettily() : line.encode();
@@ -50,7 +50,7 @@
                 for (int at = 0; at < part.length; at += length) {
                     parser.read(Buffer.buffer(part).slice(at, Math.min(part.length, at + length)));
                 }
-                assertEquals(LINES.subList(0, i + 1), received, "cut every " + length + " bytes");
+                assertEquals(LINES.subList(0, i + 1), received, "split every " + length + " bytes");
             }
         }
     }
@@ -69,13 +69,13 @@
                 "[{\"index\":1}]",
                 "{\"a\":\"\u0001\"}"
             })
-    void whatIsNoObjectThrows(String text) {
+    void inputOtherThanAnObjectThrows(String text) {
         assertThrows(RuntimeException.class, () -> new EndpointListParser(object -> {}).read(Buffer.buffer(text)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{\"a\":\"", "{\"a\":[", "{", "{\"a\":1,"})
-    void anObjectWithoutAnEndIsNotHeldForEver(String start) {
+    void anObjectThatNeverEndsIsNotBufferedWithoutBound(String start) {
         EndpointListParser parser = new EndpointListParser(object -> {});
         String more = start.contains("\"a\":\"") ? "x" : start.contains("[") ? "1," : " ";
         parser.read(Buffer.buffer(start));
--- a/sidecar/src/test/java/trestlegrade/discovery/EndpointRegistryTest.java
+++ b/sidecar/src/test/java/trestlegrade/discovery/EndpointRegistryTest.java
@@ -15,14 +15,15 @@
 import trestlegrade.metrics.Counters;
 import trestlegrade.policy.endpoint.EndpointUpdate;
 
-/** Endpoints as the list tells of them, without sockets. */
+/** How entries of the endpoint list change the registered endpoints, without sockets. */
 class EndpointRegistryTest {
 
     /**
-     * Two zones taken for one would let a journalled transaction go to endpoints that do not know of its first attempt.
+     * If two zones had the same number, a transaction could be retried in a zone whose endpoints' journal does not have
+     * its first attempt.
      */
     @Test
-    void aThousandZonesAndKindsStayApart() {
+    void aThousandZonesAndKindsHaveDistinctNumbers() {
         EndpointRegistry registry =
                 new EndpointRegistry(List.of("z0"), List.of(), endpoint -> {}, new Counters(new AsyncLog()));
         JsonArray entries = new JsonArray();
@@ -59,11 +60,11 @@
     }
 
     /**
-     * An endpoint begins to drain, and its entry has a weight that nobody can read. Were the whole entry dropped, the
-     * endpoint would be sent to past its grace.
+     * An endpoint begins to drain, and its entry has a malformed weight. If the whole entry were ignored, the endpoint
+     * would be sent requests after its drain grace.
      */
     @Test
-    void aMalformedEntryStillTellsThatItsEndpointDrains() {
+    void aMalformedEntryStillDrainsItsEndpoint() {
         List<String> outdated = new ArrayList<>();
         EndpointRegistry registry = registry(outdated);
         registry.applyList(new JsonArray().add(entry("a", "active")).add(entry("b", "active")), true);
@@ -79,9 +80,9 @@
         assertEquals(1, registry.all().size());
     }
 
-    /** What a snapshot leaves out has left; an entry that cannot be read is not left out. */
+    /** An endpoint without an entry in a snapshot has left; one with a malformed entry has not. */
     @Test
-    void aSnapshotDropsWhatItLeavesOut() {
+    void aSnapshotRemovesEndpointsWithoutAnEntry() {
         List<String> outdated = new ArrayList<>();
         EndpointRegistry registry = registry(outdated);
         registry.applyList(
@@ -99,7 +100,7 @@
         assertEquals(2, registry.all().size());
     }
 
-    /** Two cannot listen at one address: the one that started last stays, whichever is listed first. */
+    /** Two endpoints cannot listen at one address, so the one that started last stays, whichever is listed first. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void theLatestStartKeepsTheAddress(boolean latestFirst) {
--- a/sidecar/src/test/java/trestlegrade/discovery/ListAgeWarningTest.java
+++ b/sidecar/src/test/java/trestlegrade/discovery/ListAgeWarningTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A sidecar whose discovery had moved went by its old list for good, and no line of its log said so. */
+/** Guards against a sidecar that uses an old list forever after discovery has moved, without a line in its log. */
 class ListAgeWarningTest {
     private final ListAgeWarning warning = new ListAgeWarning();
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void beginsAnewOnceTheListIsConfirmed() {
+    void startsOverOnceTheListIsConfirmed() {
         assertTrue(warning.isDue(40_000));
         assertFalse(warning.isDue(0));
         assertTrue(warning.isDue(10_000));
--- a/sidecar/src/test/java/trestlegrade/discovery/WatchLivenessTest.java
+++ b/sidecar/src/test/java/trestlegrade/discovery/WatchLivenessTest.java
@@ -7,8 +7,8 @@
 import trestlegrade.discovery.WatchLiveness.State;
 
 /**
- * A watch whose network is cut stays open and says nothing. One missing empty line makes it suspect, a little later for
- * some sidecars of the fleet than for others; two make it silent for all.
+ * In a network partition a watch stays open but receives nothing. One missing empty line makes it suspect, at a time
+ * that differs between the sidecars of a fleet; two missing lines make it silent at all of them.
  */
 class WatchLivenessTest {
 
@@ -21,9 +21,9 @@
         "8000, 45000, SUSPECT",
         "8000, 45001, SILENT"
     })
-    void theTimeSinceItWasHeardDecides(long jitterTicks, long quietTicks, State expected) {
+    void theTimeSinceTheLastDataDecides(long jitterTicks, long quietTicks, State expected) {
         WatchLiveness liveness = new WatchLiveness(1_000, jitterTicks);
-        liveness.heard(70_000);
+        liveness.dataReceived(70_000);
         assertEquals(expected, liveness.state(70_000 + quietTicks));
     }
 }
