--- a/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
@@ -11,28 +11,28 @@
 import trestlegrade.policy.request.AttemptOutcome;
 
 /**
- * Sends attempts to endpoints, one at a time on a connection, and reports the outcome of each. It uses no HTTP client
- * of a library: that could send an attempt again, queue it behind another or choose its connection. All calls are on
- * the event loop.
+ * Sends attempts to endpoints, one at a time per connection, and reports the outcome of each. It does not use an HTTP
+ * client of a library, because that could resend an attempt, queue it behind another one or choose its connection. All
+ * calls are on the event loop.
  */
 public final class AttemptSender implements ConnectionPool.Listener {
 
-    /** Told of outcomes, also from inside {@link #send} and {@link #cancel}; it must not call back at once. */
+    /** Is notified of outcomes, also during {@link #send} and {@link #cancel}, so it must not call the sender. */
     public interface OutcomeListener {
         /** Called once for each attempt. */
         void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome);
     }
 
     /**
-     * How long a connection is left alone behind a response: longer than endpoints take to close it or to send a second
-     * response.
+     * How long a connection stays unused after a response. This is longer than endpoints take to close it or to send a
+     * second response.
      */
     public static final int QUARANTINE_MILLIS = 30;
 
-    /** Of the heap; the bodies of requests have as much, and the rest is for large endpoint lists. */
+    /** Request bodies may use the same fraction of the heap, and the rest is for large endpoint lists. */
     private static final double RESPONSE_BODIES_HEAP_FRACTION = 0.3;
 
-    /** A connection that took so many times its timeout met a stall of this process, not a slow endpoint. */
+    /** A connection that took this many connect timeouts to open met a stall of this process, not a slow endpoint. */
     private static final int STALLED_CONNECT_TIMEOUTS = 2;
 
     private static final int STATUS_OK = 200;
@@ -47,7 +47,7 @@
     private final ConnectionPool pool;
     private final BodyMemoryBudget responseBodies = BodyMemoryBudget.ofHeap(RESPONSE_BODIES_HEAP_FRACTION);
 
-    /** A sender without connections; for the quarantine see {@link ConnectionPool#release}. */
+    /** Creates a sender without connections. For the quarantine see {@link ConnectionPool#release}. */
     public AttemptSender(
             EventLoopContext loop,
             Counters counters,
@@ -62,49 +62,49 @@
         pool = new ConnectionPool(loop, counters, this, config, quarantineMillis);
     }
 
-    /** New settings: for connections from now on, and for how long those that are open may be idle. */
+    /** Applies new settings to new connections, and the new maximum idle time also to open ones. */
     public void reload(SidecarConfig config) {
         pool.reload(config);
     }
 
-    /** Bytes that the bodies of responses hold. */
+    /** Returns the memory that response bodies hold, in bytes. */
     public long responseBodyBytes() {
         return responseBodies.held();
     }
 
-    /** Connections to endpoints that are open or being opened. */
+    /** Returns the number of connections to endpoints that are open or being opened. */
     public int connections() {
         return pool.size();
     }
 
-    /** Closes the idle connections to an endpoint that left, drains, moved or started anew. */
+    /** Closes the idle connections to an endpoint that left, drains, moved or restarted. */
     public void closeIdle(Endpoint endpoint) {
         pool.closeIdle(endpoint);
     }
 
-    /** No more attempts: closes all idle connections. */
+    /** Closes all idle connections. No attempts may be sent after this. */
     public void close() {
         pool.close();
     }
 
-    /** Starts an attempt; with a timeout of 0 or less it ends as not sent. */
+    /** Starts an attempt. With a timeout of 0 or less, it ends as not sent. */
     public void send(OutboundAttempt attempt, long timeoutTicks) {
         if (timeoutTicks <= 0 || !attempt.endpoint.active || clock.now() >= attempt.writeBeforeTicks) {
-            settle(attempt, AttemptOutcome.NOT_SENT);
+            endAttempt(attempt, AttemptOutcome.NOT_SENT);
             return;
         }
         attempt.timeoutTimer = vertx.setTimer(roundUpToMillis(timeoutTicks), t -> {
             attempt.timeoutTimer = OutboundAttempt.NO_TIMER;
-            settle(attempt, AttemptOutcome.TIMED_OUT);
+            endAttempt(attempt, AttemptOutcome.TIMED_OUT);
         });
         PooledConnection connection = pool.takeIdle(attempt);
         if (connection != null) {
             write(attempt, connection);
-        } else if (pool.makeRoom()) {
+        } else if (pool.ensureDescriptorAvailable()) {
             pool.connect(attempt);
         } else {
             counters.descriptorsExhausted++;
-            settle(attempt, AttemptOutcome.NOT_SENT);
+            endAttempt(attempt, AttemptOutcome.NOT_SENT);
         }
     }
 
@@ -112,9 +112,12 @@
         return Math.max(1, (ticks + MonotonicClock.TICKS_PER_MILLI - 1) / MonotonicClock.TICKS_PER_MILLI);
     }
 
-    /** Ends an attempt; at its request's deadline as timed out, for its own timer may come just behind this. */
+    /**
+     * Ends an attempt as cancelled. From its request's deadline on, the attempt ends as timed out instead, because its
+     * own timer may run only just after this call.
+     */
     public void cancel(OutboundAttempt attempt) {
-        settle(
+        endAttempt(
                 attempt,
                 clock.now() < attempt.request.metadata.deadline()
                         ? AttemptOutcome.CANCELLED
@@ -123,26 +126,26 @@
 
     @Override
     public void connectFailed(OutboundAttempt attempt) {
-        settle(attempt, AttemptOutcome.NO_CONNECTION);
+        endAttempt(attempt, AttemptOutcome.NO_CONNECTION);
     }
 
     /**
      * Checks again what may have changed while the connection was opened: the attempt may have ended, its client may
-     * have left, the endpoint list may say that the endpoint drains or be too old.
+     * have disconnected, and the endpoint list may say that the endpoint drains or be too old.
      */
     @Override
     public void connected(OutboundAttempt attempt, PooledConnection connection) {
         if (!connection.endpoint.active) {
-            connection.close(ConnectionEnd.ENDPOINT_OUTDATED);
-            settle(attempt, AttemptOutcome.NOT_SENT);
+            connection.close(ConnectionEndReason.ENDPOINT_OUTDATED);
+            endAttempt(attempt, AttemptOutcome.NOT_SENT);
         } else if (connection.closed) {
-            settle(attempt, AttemptOutcome.NO_CONNECTION);
+            endAttempt(attempt, AttemptOutcome.NO_CONNECTION);
         } else if (attempt.ended) {
             pool.release(connection);
         } else if (!attempt.request.wanted()
                 || clock.now() >= attempt.writeBeforeTicks
                 || clock.now() - connection.requestedTicks > stalledConnectTicks()) {
-            settle(attempt, AttemptOutcome.NOT_SENT);
+            endAttempt(attempt, AttemptOutcome.NOT_SENT);
             pool.release(connection);
         } else {
             write(attempt, connection);
@@ -158,20 +161,20 @@
         attempt.responseMemory = responseBodies.claim();
         counters.attemptsSent++;
         attempt.written = connection.write(attempt, clock.now());
-        attempt.written.onFailure(e -> responseFailed(attempt, ConnectionEnd.BROKEN));
+        attempt.written.onFailure(e -> responseFailed(attempt, ConnectionEndReason.BROKEN));
     }
 
     @Override
     public void connectionLost(OutboundAttempt attempt) {
-        settle(attempt, AttemptOutcome.BROKEN);
+        endAttempt(attempt, AttemptOutcome.BROKEN);
     }
 
     @Override
     public void responseCompleted(OutboundAttempt attempt) {
         PooledConnection connection = attempt.connection;
-        settle(attempt, outcomeOfResponse(attempt));
+        endAttempt(attempt, outcomeOfResponse(attempt));
         if (!HttpUtil.isKeepAlive(attempt.responseHead)) {
-            connection.close(ConnectionEnd.CLOSE_ANNOUNCED);
+            connection.close(ConnectionEndReason.CLOSE_ANNOUNCED);
         }
     }
 
@@ -186,17 +189,17 @@
     }
 
     @Override
-    public void responseFailed(OutboundAttempt attempt, ConnectionEnd end) {
+    public void responseFailed(OutboundAttempt attempt, ConnectionEndReason reason) {
         if (!attempt.ended) {
-            attempt.connection.close(end);
-            settle(attempt, AttemptOutcome.BROKEN);
+            attempt.connection.close(reason);
+            endAttempt(attempt, AttemptOutcome.BROKEN);
         }
     }
 
     /**
-     * A response may arrive in parts until the deadline of its request. Only the gap behind the last part is bounded,
-     * by the time that a connection may take to open: a bound on the whole would end long responses that still arrive,
-     * and those that wait unread while the event loop stalls.
+     * Limits the gap after the latest part of a response to the connect timeout. The whole response may arrive in parts
+     * until the deadline of its request. A limit on the whole would end long responses that are still arriving, and
+     * responses that wait unread during an event loop stall.
      */
     @Override
     public void responsePartReceived(OutboundAttempt attempt) {
@@ -217,12 +220,12 @@
         if (!attempt.ended && leftMillis > 0) {
             awaitNextPart(attempt, leftMillis);
         } else {
-            responseFailed(attempt, ConnectionEnd.UNFINISHED);
+            responseFailed(attempt, ConnectionEndReason.UNFINISHED);
         }
     }
 
-    /** Ends an attempt, if it has not ended yet. */
-    private void settle(OutboundAttempt attempt, AttemptOutcome outcome) {
+    /** Ends an attempt and reports its outcome. Does nothing if it has ended already. */
+    private void endAttempt(OutboundAttempt attempt, AttemptOutcome outcome) {
         if (attempt.ended) {
             return;
         }
@@ -233,7 +236,7 @@
             attempt.responseMemory.release();
         }
         if (attempt.connection != null) {
-            freeConnection(attempt, outcome);
+            releaseOrCloseConnection(attempt, outcome);
         }
         if (endpointMayBeDead(attempt, outcome)) {
             pool.closeSuspect(attempt.endpoint, attempt.startedTicks);
@@ -241,49 +244,53 @@
         report(attempt, outcome);
     }
 
-    /** A connection can carry another attempt only behind a complete request with a complete response. */
-    private void freeConnection(OutboundAttempt attempt, AttemptOutcome outcome) {
+    /** A connection can serve another attempt only after a complete request with a complete response. */
+    private void releaseOrCloseConnection(OutboundAttempt attempt, AttemptOutcome outcome) {
         if (isResponse(outcome) && attempt.written != null && attempt.written.succeeded()) {
             pool.release(attempt.connection);
         } else {
-            attempt.connection.close(connectionEnd(outcome));
+            attempt.connection.close(endReason(outcome));
             attempt.connection.attempt = null;
         }
     }
 
-    private static ConnectionEnd connectionEnd(AttemptOutcome outcome) {
+    private static ConnectionEndReason endReason(AttemptOutcome outcome) {
         return switch (outcome) {
-            case TIMED_OUT -> ConnectionEnd.TIMED_OUT;
-            case CANCELLED -> ConnectionEnd.CANCELLED;
-            case COMMITTED, REJECTED, ERROR -> ConnectionEnd.EARLY_RESPONSE;
-            case BROKEN, NO_CONNECTION, NOT_SENT -> ConnectionEnd.BROKEN;
+            case TIMED_OUT -> ConnectionEndReason.TIMED_OUT;
+            case CANCELLED -> ConnectionEndReason.CANCELLED;
+            case COMMITTED, REJECTED, ERROR -> ConnectionEndReason.EARLY_RESPONSE;
+            case BROKEN, NO_CONNECTION, NOT_SENT -> ConnectionEndReason.BROKEN;
         };
     }
 
-    /** Then idle connections may be dead as well; a new one proves that the machine is alive before it is written. */
+    /**
+     * Returns whether the endpoint's idle connections may be dead as well, and must be closed. A new connection proves
+     * that the machine is alive before an attempt is written to it.
+     */
     private static boolean endpointMayBeDead(OutboundAttempt attempt, AttemptOutcome outcome) {
         return outcome == AttemptOutcome.TIMED_OUT
                 || (outcome == AttemptOutcome.BROKEN
                         && attempt.responseHead == null
                         && attempt.connection != null
-                        && attempt.connection.end == ConnectionEnd.BROKEN);
+                        && attempt.connection.endReason == ConnectionEndReason.BROKEN);
     }
 
     /**
-     * Whether an attempt without a response may have run depends on its last byte: an endpoint that did not get that
-     * never began it. While the write is open this waits one turn, in which the closed connection fails it; what is
-     * undecided then may have run.
+     * Reports the outcome of an attempt. Whether an attempt without a response may have run depends on whether its last
+     * byte was written, because an endpoint that did not receive that byte never began the attempt. While the write is
+     * pending, this waits for one event loop iteration, in which the closed connection fails the write. If the write is
+     * still pending after that, the attempt may have run.
      */
     private void report(OutboundAttempt attempt, AttemptOutcome outcome) {
         if (isResponse(outcome)) {
             outcomeListener.attemptEnded(attempt, outcome);
         } else if (attempt.written == null || attempt.written.failed()) {
-            outcomeListener.attemptEnded(attempt, neverWritten(outcome));
+            outcomeListener.attemptEnded(attempt, unwrittenOutcome(outcome));
         } else if (attempt.written.isComplete()) {
             outcomeListener.attemptEnded(attempt, outcome);
         } else {
-            vertx.runOnContext(v ->
-                    outcomeListener.attemptEnded(attempt, attempt.written.failed() ? neverWritten(outcome) : outcome));
+            vertx.runOnContext(v -> outcomeListener.attemptEnded(
+                    attempt, attempt.written.failed() ? unwrittenOutcome(outcome) : outcome));
         }
     }
 
@@ -293,7 +300,7 @@
                 || outcome == AttemptOutcome.ERROR;
     }
 
-    private static AttemptOutcome neverWritten(AttemptOutcome outcome) {
+    private static AttemptOutcome unwrittenOutcome(AttemptOutcome outcome) {
         return outcome == AttemptOutcome.NOT_SENT || outcome == AttemptOutcome.CANCELLED
                 ? AttemptOutcome.NOT_SENT
                 : AttemptOutcome.NO_CONNECTION;
--- a/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
@@ -19,29 +19,35 @@
 import trestlegrade.metrics.Counters;
 
 /**
- * Connections to endpoints: opens them, keeps the idle ones of each endpoint, and closes them when they are too old or
- * of no more use. All calls are on the event loop.
+ * Opens connections to endpoints, keeps the idle ones of each endpoint, and closes connections that are too old or no
+ * longer useful. All calls are on the event loop.
  */
 final class ConnectionPool {
 
-    /** Told of the connections that it asked for and of those that end under an attempt. */
+    /** Is notified of the connections that it requested and of those that end during an attempt. */
     interface Listener extends PooledConnection.Listener {
         /** The attempt's connection could not be opened. */
         void connectFailed(OutboundAttempt attempt);
 
-        /** The attempt's connection is open, or was: it may have ended since. */
+        /** The attempt's connection was opened. It may have ended since. */
         void connected(OutboundAttempt attempt, PooledConnection connection);
 
-        /** The connection that carries the attempt has ended. */
+        /** The connection that serves the attempt has ended. */
         void connectionLost(OutboundAttempt attempt);
     }
 
     private static final long SWEEP_MILLIS = 500;
 
-    /** An endpoint that has begun on an attempt breaks it later than one that had closed the connection before. */
-    private static final long BROKE_AT_ONCE_TICKS = 5 * MonotonicClock.TICKS_PER_MILLI;
+    /**
+     * An attempt that breaks sooner was written to a connection that the endpoint had already closed. An endpoint that
+     * has begun an attempt takes longer to break it.
+     */
+    private static final long CLOSED_BEFORE_WRITE_TICKS = 5 * MonotonicClock.TICKS_PER_MILLI;
 
-    /** Half of the quarantine: what comes sooner is kept from other attempts by that alone, with as much to spare. */
+    /**
+     * Half of the quarantine. Excess bytes that arrive sooner cannot reach another attempt, because the quarantine goes
+     * on for as long again.
+     */
     private static final long LATE_EXCESS_BYTES_TICKS =
             AttemptSender.QUARANTINE_MILLIS * MonotonicClock.TICKS_PER_MILLI / 2;
 
@@ -58,13 +64,16 @@
     private final long sweepTimer;
     private long connectTimeoutMillis;
     private long maxIdleTicks;
-    /** Until the system refuses it once: a refusal behind each response would cost as much as the option itself. */
+    /**
+     * Set to false as soon as the operating system refuses the option, because a refusal after each response would cost
+     * as much as the option itself.
+     */
     private boolean quickAckSupported = true;
 
     /**
-     * A pool without connections.
+     * Creates a pool without connections.
      *
-     * @param quarantineMillis how long a connection is left alone behind a response, see {@link #release}
+     * @param quarantineMillis how long a connection stays unused after a response, see {@link #release}
      */
     ConnectionPool(
             EventLoopContext loop, Counters counters, Listener listener, SidecarConfig config, int quarantineMillis) {
@@ -81,10 +90,10 @@
         sweepTimer = vertx.setPeriodic(SWEEP_MILLIS, t -> sweep());
     }
 
-    /** New settings: for connections from now on, and for how long those that are open may be idle. */
+    /** Applies new settings to new connections, and the new maximum idle time also to open ones. */
     void reload(SidecarConfig config) {
         connectTimeoutMillis = Math.max(1, config.connectTimeoutTicks() / MonotonicClock.TICKS_PER_MILLI);
-        // A fifth of the endpoint's own time is left for what is under way and for a late event loop.
+        // A fifth of the endpoint's idle timeout is left for data in flight and for event loop lag.
         maxIdleTicks = config.idleTimeoutTicks() * 4 / 5;
     }
 
@@ -92,14 +101,14 @@
         return connectTimeoutMillis;
     }
 
-    /** Connections that are open or being opened. */
+    /** Returns the number of connections that are open or being opened. */
     int size() {
         return descriptors.inUse();
     }
 
     /**
-     * Takes an idle connection for an attempt: the one used last, so that the surplus ages and is closed. Null if there
-     * is none that may be used.
+     * Takes an idle connection for an attempt, or returns null if none may be used. Prefers the connection used last,
+     * so that surplus connections age and are closed.
      */
     PooledConnection takeIdle(OutboundAttempt attempt) {
         Deque<PooledConnection> idle = idleByEndpoint.get(attempt.endpoint.id);
@@ -111,9 +120,9 @@
         for (Iterator<PooledConnection> each = idle.descendingIterator(); each.hasNext(); ) {
             PooledConnection connection = each.next();
             long idleTicks = now - connection.idleSinceTicks;
-            if (connection.closed || connection.end != null || idleTicks > maxIdleTicks) {
+            if (connection.closed || connection.endReason != null || idleTicks > maxIdleTicks) {
                 each.remove();
-                connection.close(ConnectionEnd.IDLE);
+                connection.close(ConnectionEndReason.IDLE);
             } else if (connection.quarantinePassed && (idempotent || reuseAgeBound.allows(idleTicks))) {
                 each.remove();
                 return connection;
@@ -122,8 +131,8 @@
         return null;
     }
 
-    /** Whether another connection may be opened, if need be because an idle one has been closed for it. */
-    boolean makeRoom() {
+    /** Returns whether another connection may be opened. Closes an idle one if no descriptor is free. */
+    boolean ensureDescriptorAvailable() {
         return !descriptors.isExhausted() || closeOneIdle();
     }
 
@@ -131,14 +140,14 @@
         for (var each : idleByEndpoint) {
             PooledConnection connection = each.value.pollFirst();
             if (connection != null) {
-                connection.close(ConnectionEnd.DESCRIPTOR_NEEDED);
+                connection.close(ConnectionEndReason.DESCRIPTOR_NEEDED);
                 return true;
             }
         }
         return false;
     }
 
-    /** Opens a connection for an attempt; the listener is told of the result. */
+    /** Opens a connection for an attempt, and notifies the listener of the result. */
     void connect(OutboundAttempt attempt) {
         descriptors.acquire();
         counters.connectionsRequested++;
@@ -148,8 +157,8 @@
                 .onSuccess(socket -> opened(attempt, socket, requestedTicks))
                 .onFailure(e -> {
                     descriptors.release();
-                    long tookTicks = loop.clock().now() - requestedTicks;
-                    count(ConnectionEnd.CONNECT_FAILED, endpoint, 0, tookTicks);
+                    long durationTicks = loop.clock().now() - requestedTicks;
+                    count(ConnectionEndReason.CONNECT_FAILED, endpoint, 0, durationTicks);
                     listener.connectFailed(attempt);
                 });
     }
@@ -161,92 +170,95 @@
                 requestedTicks,
                 loop.clock().now(),
                 listener);
-        connection.whenClosed(() -> closed(connection));
-        connection.whenExcessBytes(() -> excessBytes(connection));
+        connection.onClosed(() -> closed(connection));
+        connection.onExcessBytes(() -> excessBytes(connection));
         loop.lag().runWhenCaughtUp(() -> listener.connected(attempt, connection));
     }
 
-    /** Late ones could have met an attempt. A connection in quarantine stays, to show whether the endpoint goes on. */
-    private void excessBytes(PooledConnection from) {
+    /**
+     * Makes an endpoint single-use if its excess bytes arrived late, because they could have reached an attempt. Its
+     * connections in quarantine stay open, to show whether it continues to send excess bytes.
+     */
+    private void excessBytes(PooledConnection source) {
         long now = loop.clock().now();
-        if (now - from.idleSinceTicks < LATE_EXCESS_BYTES_TICKS) {
+        if (now - source.idleSinceTicks < LATE_EXCESS_BYTES_TICKS) {
             return;
         }
-        singleUse.begin(from.endpoint, now);
-        Deque<PooledConnection> idle = idleOf(from.endpoint);
+        singleUse.add(source.endpoint, now);
+        Deque<PooledConnection> idle = idleOf(source.endpoint);
         idle.stream()
-                .filter(connection -> connection.quarantinePassed && connection.attemptsCarried > 0)
+                .filter(connection -> connection.quarantinePassed && connection.attemptsServed > 0)
                 .toList()
-                .forEach(connection -> retire(idle, connection));
+                .forEach(connection -> closeSingleUse(idle, connection));
     }
 
-    private static void retire(Deque<PooledConnection> idle, PooledConnection connection) {
+    private static void closeSingleUse(Deque<PooledConnection> idle, PooledConnection connection) {
         idle.remove(connection);
-        connection.close(ConnectionEnd.SINGLE_USE);
+        connection.close(ConnectionEndReason.SINGLE_USE);
     }
 
     private void closed(PooledConnection connection) {
         descriptors.release();
         connection.closed = true;
-        ConnectionEnd end = connection.end;
-        if (end == null) {
-            end = connection.attempt == null ? ConnectionEnd.ENDPOINT_CLOSED : ConnectionEnd.BROKEN;
+        ConnectionEndReason reason = connection.endReason;
+        if (reason == null) {
+            reason = connection.attempt == null ? ConnectionEndReason.ENDPOINT_CLOSED : ConnectionEndReason.BROKEN;
         }
         long openTicks = loop.clock().now() - connection.openedTicks;
-        count(end, connection.endpoint, connection.attemptsCarried, openTicks);
+        count(reason, connection.endpoint, connection.attemptsServed, openTicks);
         Deque<PooledConnection> idle = idleByEndpoint.get(connection.endpoint.id);
         if (idle != null) {
             idle.remove(connection);
         }
         if (connection.attempt != null) {
             lowerReuseAge(connection);
-            connection.end = end;
+            connection.endReason = reason;
             listener.connectionLost(connection.attempt);
         }
     }
 
     private void lowerReuseAge(PooledConnection connection) {
         long startedTicks = connection.attempt.startedTicks;
-        if (connection.attemptsCarried > 1 && loop.clock().now() - startedTicks < BROKE_AT_ONCE_TICKS) {
-            reuseAgeBound.brokeAfterIdle(startedTicks - connection.idleSinceTicks);
+        if (connection.attemptsServed > 1 && loop.clock().now() - startedTicks < CLOSED_BEFORE_WRITE_TICKS) {
+            reuseAgeBound.recordBreakAfterIdle(startedTicks - connection.idleSinceTicks);
         }
     }
 
-    private void count(ConnectionEnd end, Endpoint endpoint, int attemptsCarried, long openTicks) {
-        counters.ended("pooled", end.logCode(), endpoint.name, attemptsCarried, openTicks);
+    private void count(ConnectionEndReason reason, Endpoint endpoint, int attemptsServed, long openTicks) {
+        counters.ended("pooled", reason.logCode(), endpoint.name, attemptsServed, openTicks);
     }
 
     /**
-     * Takes back a connection whose attempt has ended with a complete response, or that has carried none yet.
+     * Takes back a connection whose attempt has ended with a complete response, or that has served no attempt yet.
      *
-     * <p>It is in quarantine at first. Endpoints close connections shortly behind a response or send a second one: an
-     * attempt written before that has been read is lost, or gets another attempt's response. What has come by the first
-     * timer is read by the event loop before the second.
+     * <p>After a response, the connection is quarantined first. Endpoints may close a connection shortly after a
+     * response, or send a second response. An attempt that is written before this has been read is lost, or gets the
+     * response to another attempt. The event loop reads what has arrived by the first timer before it runs the second.
      */
     void release(PooledConnection connection) {
         connection.attempt = null;
-        if (connection.closed || connection.end != null) {
+        if (connection.closed || connection.endReason != null) {
             return;
         }
         if (!connection.endpoint.active) {
-            connection.close(ConnectionEnd.ENDPOINT_OUTDATED);
+            connection.close(ConnectionEndReason.ENDPOINT_OUTDATED);
             return;
         }
         connection.idleSinceTicks = loop.clock().now();
         idleOf(connection.endpoint).addLast(connection);
-        quickAckSupported = quickAckSupported && connection.acknowledgeAtOnce();
-        connection.quarantinePassed = connection.attemptsCarried == 0;
+        quickAckSupported = quickAckSupported && connection.acknowledgeImmediately();
+        connection.quarantinePassed = connection.attemptsServed == 0;
         int quarantine = ++connection.quarantines;
         vertx.setTimer(quarantineMillis, t -> vertx.setTimer(1, u -> endQuarantine(connection, quarantine)));
     }
 
     private void endQuarantine(PooledConnection connection, int quarantine) {
-        boolean carriedNone = connection.attemptsCarried == 0;
-        if (carriedNone || connection.quarantines != quarantine || connection.closed || connection.end != null) {
+        boolean unused = connection.attemptsServed == 0;
+        if (unused || connection.quarantines != quarantine || connection.closed || connection.endReason != null) {
             return;
         }
         if (singleUse.contains(connection.endpoint, loop.clock().now())) {
-            retire(idleOf(connection.endpoint), connection);
+            closeSingleUse(idleOf(connection.endpoint), connection);
         } else {
             connection.quarantinePassed = true;
         }
@@ -261,9 +273,9 @@
         return idle;
     }
 
-    /** Closes the idle connections to an endpoint that left, drains, moved or started anew. */
+    /** Closes the idle connections to an endpoint that left, drains, moved or restarted. */
     void closeIdle(Endpoint endpoint) {
-        closeIdleSinceBefore(endpoint, ConnectionEnd.ENDPOINT_OUTDATED, Long.MAX_VALUE);
+        closeIdleSinceBefore(endpoint, ConnectionEndReason.ENDPOINT_OUTDATED, Long.MAX_VALUE);
         if (!endpoint.active) {
             idleByEndpoint.remove(endpoint.id);
             singleUse.remove(endpoint);
@@ -271,17 +283,17 @@
     }
 
     /**
-     * Closes the endpoint's connections that were idle at that time already. Those that have carried a response since
-     * are known to lead to a live machine.
+     * Closes the endpoint's connections that were already idle at the given time. Connections that have received a
+     * response since then are known to lead to a live machine.
      */
-    void closeSuspect(Endpoint endpoint, long sinceTicks) {
-        closeIdleSinceBefore(endpoint, ConnectionEnd.SUSPECT, sinceTicks);
+    void closeSuspect(Endpoint endpoint, long ticks) {
+        closeIdleSinceBefore(endpoint, ConnectionEndReason.SUSPECT, ticks);
     }
 
-    private void closeIdleSinceBefore(Endpoint endpoint, ConnectionEnd end, long ticks) {
+    private void closeIdleSinceBefore(Endpoint endpoint, ConnectionEndReason reason, long ticks) {
         Deque<PooledConnection> idle = idleByEndpoint.get(endpoint.id);
         while (idle != null && !idle.isEmpty() && idle.peekFirst().idleSinceTicks < ticks) {
-            idle.pollFirst().close(end);
+            idle.pollFirst().close(reason);
         }
     }
 
@@ -291,16 +303,16 @@
         for (var each : idleByEndpoint) {
             Deque<PooledConnection> idle = each.value;
             while (!idle.isEmpty() && now - idle.peekFirst().idleSinceTicks > maxIdleTicks) {
-                idle.pollFirst().close(ConnectionEnd.IDLE);
+                idle.pollFirst().close(ConnectionEndReason.IDLE);
             }
         }
     }
 
-    /** Closes all idle connections; the pool is of no further use. */
+    /** Closes all idle connections. The pool must not be used after this. */
     void close() {
         vertx.cancelTimer(sweepTimer);
         for (var each : idleByEndpoint) {
-            new ArrayList<>(each.value).forEach(connection -> connection.close(ConnectionEnd.POOL_CLOSED));
+            new ArrayList<>(each.value).forEach(connection -> connection.close(ConnectionEndReason.POOL_CLOSED));
         }
         client.close();
     }
--- a/sidecar/src/main/java/trestlegrade/outbound/OutboundAttempt.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/OutboundAttempt.java
@@ -15,29 +15,29 @@
     public final int number;
     public final Endpoint endpoint;
     public final long startedTicks;
-    /** Once this time has come it must not be written any more. */
+    /** The attempt must not be written from this time on. */
     final long writeBeforeTicks;
 
-    /** Null until it is handed to a connection. */
+    /** Null until the attempt is passed to a connection. */
     PooledConnection connection;
-    /** What the body of its response holds; null until it is handed to a connection. */
+    /** The memory of the response body. Null until the attempt is passed to a connection. */
     public BodyMemoryBudget.Claim responseMemory;
-    /** Completed with its last byte; null until it is handed to a connection. */
+    /** Completes when the last byte is written. Null until the attempt is passed to a connection. */
     Future<Void> written;
-    /** Null until it has come. */
+    /** Null until the head has arrived. */
     public HttpResponse responseHead;
-    /** Null until it is complete. */
+    /** Null until the body is complete. */
     public Buffer responseBody;
-    /** Ends it at its timeout. */
+    /** Ends the attempt at its timeout. */
     long timeoutTimer = NO_TIMER;
-    /** Set once a part of the response has come; ends it if nothing follows. */
+    /** Set once a part of the response has arrived. Ends the attempt if nothing follows. */
     long progressTimer = NO_TIMER;
 
     long lastPartTicks;
-    /** Whether it has its outcome. */
+    /** Whether the outcome of the attempt is decided. */
     boolean ended;
 
-    /** An attempt that has not been written yet; attempts of a request are numbered from 0. */
+    /** Creates an attempt that has not been written yet. The attempts of a request are numbered from 0. */
     public OutboundAttempt(
             InboundRequest request, int number, Endpoint endpoint, long startedTicks, long writeBeforeTicks) {
         this.request = request;
--- a/sidecar/src/main/java/trestlegrade/outbound/PooledConnection.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/PooledConnection.java
@@ -19,45 +19,45 @@
 import trestlegrade.inbound.HeaderRules;
 import trestlegrade.inbound.InboundHttpServer;
 
-/** One connection to an endpoint, which carries one attempt at a time and reads its response. */
+/** A connection to an endpoint, which serves one attempt at a time and reads its response. */
 final class PooledConnection implements ResponseReader.Listener {
 
-    /** Told of the response to the attempt on a connection. */
+    /** Is notified of the response to the attempt on a connection. */
     interface Listener {
-        /** Head and body are complete. */
+        /** The head and the body of the response are complete. */
         void responseCompleted(OutboundAttempt attempt);
 
-        /** The attempt may have run, and its connection is of no further use. */
-        void responseFailed(OutboundAttempt attempt, ConnectionEnd end);
+        /** The attempt may have run, and its connection must be closed. */
+        void responseFailed(OutboundAttempt attempt, ConnectionEndReason reason);
 
-        /** A part of the response has come. */
+        /** A part of the response has arrived. */
         void responsePartReceived(OutboundAttempt attempt);
     }
 
-    /** Holds only for what has come when it is set, so it is set anew behind each response. */
+    /** Applies only to the data that has arrived when it is set, so it is set again after each response. */
     private static final ChannelOption<Boolean> QUICK_ACK = NioChannelOption.of(ExtendedSocketOptions.TCP_QUICKACK);
 
     final Endpoint endpoint;
-    /** When it was asked for. */
+    /** When the connection was requested. */
     final long requestedTicks;
-    /** When it was open. */
+    /** When the connection was established. */
     final long openedTicks;
 
     private final NetSocketInternal socket;
     private final Listener listener;
-    private Runnable onExcessBytes = () -> {};
+    private Runnable excessBytesHandler = () -> {};
     private Buffer body;
-    /** When its last attempt ended. */
+    /** When the connection last became idle. */
     long idleSinceTicks;
-    /** Whether the event loop has looked for excess bytes some time after the last response, and found none. */
+    /** Whether no excess bytes were found when the event loop read the socket some time after the last response. */
     boolean quarantinePassed;
 
     int quarantines;
-    int attemptsCarried;
-    /** The attempt in flight on it, or null. */
+    int attemptsServed;
+    /** The attempt in flight on the connection, or null. */
     OutboundAttempt attempt;
-    /** Why this side ended it; null while it is open, and if the endpoint closed it. */
-    ConnectionEnd end;
+    /** Why this side ended the connection. Null while it is open, and if the endpoint closed it. */
+    ConnectionEndReason endReason;
 
     boolean closed;
 
@@ -76,21 +76,21 @@
         socket.exceptionHandler(e -> {});
     }
 
-    /** Writes an attempt; the future completes with its last byte. */
+    /** Writes an attempt. The future completes when the last byte is written. */
     Future<Void> write(OutboundAttempt next, long now) {
         attempt = next;
-        attemptsCarried++;
+        attemptsServed++;
         return socket.writeMessage(HeaderRules.attemptMessage(next.request, next.request.metadata.deadline() - now));
     }
 
     /**
-     * Has the system acknowledge at once what was read; false if it cannot.
+     * Makes the operating system acknowledge immediately what was read. Returns false if it cannot.
      *
-     * <p>Otherwise it delays that for 40 ms or more, and an endpoint without TCP_NODELAY holds back until then what it
-     * writes behind a response: a second response would come with the next attempt's bytes and be taken for the
-     * response to that.
+     * <p>By default the system delays the acknowledgement for 40 ms or more, and until then an endpoint without
+     * TCP_NODELAY holds back what it writes after a response. A second response would then arrive only once the next
+     * attempt's bytes acknowledge the first one, and it would be taken for the response to that attempt.
      */
-    boolean acknowledgeAtOnce() {
+    boolean acknowledgeImmediately() {
         Channel channel = socket.channelHandlerContext().channel();
         try {
             return channel.config().setOption(QUICK_ACK, true);
@@ -118,18 +118,18 @@
         attempt.responseHead = head;
         body = Buffer.buffer();
         if (HeaderRules.contentLength(head.headers().get("Content-Length")) > InboundHttpServer.MAX_BODY_BYTES) {
-            listener.responseFailed(attempt, ConnectionEnd.OVERSIZED);
+            listener.responseFailed(attempt, ConnectionEndReason.OVERSIZED);
         }
     }
 
     private void readContent(HttpContent content) {
         int length = body.length() + content.content().readableBytes();
         if (length > InboundHttpServer.MAX_BODY_BYTES) {
-            listener.responseFailed(attempt, ConnectionEnd.OVERSIZED);
+            listener.responseFailed(attempt, ConnectionEndReason.OVERSIZED);
             return;
         }
         if (!attempt.responseMemory.grow(length)) {
-            listener.responseFailed(attempt, ConnectionEnd.NO_MEMORY);
+            listener.responseFailed(attempt, ConnectionEndReason.NO_MEMORY);
             return;
         }
         body.appendBuffer(BufferInternal.buffer(content.content()));
@@ -142,7 +142,7 @@
 
     @Override
     public boolean awaitsResponse() {
-        return attempt != null && attempt.responseBody == null && !attempt.ended && end == null;
+        return attempt != null && attempt.responseBody == null && !attempt.ended && endReason == null;
     }
 
     @Override
@@ -152,15 +152,15 @@
 
     @Override
     public void excessBytes() {
-        if (end == null) {
-            close(ConnectionEnd.EXCESS_BYTES);
-            onExcessBytes.run();
+        if (endReason == null) {
+            close(ConnectionEndReason.EXCESS_BYTES);
+            excessBytesHandler.run();
         }
     }
 
     @Override
     public void malformedResponse() {
-        listener.responseFailed(attempt, ConnectionEnd.MALFORMED);
+        listener.responseFailed(attempt, ConnectionEndReason.MALFORMED);
     }
 
     @Override
@@ -168,19 +168,19 @@
         listener.responsePartReceived(attempt);
     }
 
-    /** Bytes came that belong to no attempt, while neither side had closed it. */
-    void whenExcessBytes(Runnable then) {
-        onExcessBytes = then;
+    /** Sets the handler of bytes that belong to no attempt and arrive before this side has closed the connection. */
+    void onExcessBytes(Runnable handler) {
+        excessBytesHandler = handler;
     }
 
-    void whenClosed(Runnable then) {
-        socket.closeHandler(v -> then.run());
+    void onClosed(Runnable handler) {
+        socket.closeHandler(v -> handler.run());
     }
 
-    /** Closes it for the reason given, if this side has not closed it before. */
-    void close(ConnectionEnd reason) {
-        if (end == null) {
-            end = reason;
+    /** Closes the connection for the given reason, if this side has not closed it before. */
+    void close(ConnectionEndReason reason) {
+        if (endReason == null) {
+            endReason = reason;
             socket.close();
         }
     }
--- a/sidecar/src/main/java/trestlegrade/outbound/ResponseReader.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ResponseReader.java
@@ -14,30 +14,30 @@
 import java.util.List;
 
 /**
- * Decodes an endpoint's responses on one connection. Bytes that come while no attempt is in flight belong to no
- * response; a response that cannot be parsed fails at its first bad bytes, not at the attempt's timeout.
+ * Decodes an endpoint's responses on one connection. Bytes that arrive while no attempt is in flight belong to no
+ * response. A response that cannot be parsed fails at its first malformed bytes, not at the attempt's timeout.
  */
 final class ResponseReader extends HttpResponseDecoder {
 
     /** The connection that awaits the responses. */
     interface Listener {
-        /** Whether an attempt is in flight whose response is not complete yet. */
+        /** Returns whether an attempt is in flight whose response is not complete yet. */
         boolean awaitsResponse();
 
-        /** Whether the response to that attempt is a head alone. */
+        /** Returns whether the response to that attempt consists of a head only. */
         boolean responseHasNoBody();
 
-        /** Bytes have come that belong to no attempt. */
+        /** Bytes have arrived that belong to no attempt. */
         void excessBytes();
 
         /** The response cannot be parsed. */
         void malformedResponse();
 
-        /** All that has come so far was read, and the response is not complete. */
+        /** All bytes that have arrived so far were read, and the response is not complete. */
         void incompleteResponse();
     }
 
-    /** Where in the stream of responses the next byte stands. */
+    /** The position of the next byte in the stream of responses. */
     private enum State {
         BETWEEN_RESPONSES,
         IN_RESPONSE
@@ -51,7 +51,7 @@
     private boolean connectionReset;
 
     ResponseReader(Listener listener) {
-        // HeaderRules leaves out fields that cannot be forwarded; they do not make a response malformed.
+        // HeaderRules leaves out fields that cannot be forwarded, so they do not make a response malformed.
         super(new HttpDecoderConfig().setValidateHeaders(false));
         this.listener = listener;
     }
@@ -72,12 +72,12 @@
         super.decode(context, bytes, out);
         for (int i = before; i < out.size(); i++) {
             HttpObject part = (HttpObject) out.get(i);
-            if (part.decoderResult().isFailure() || (part instanceof HttpResponse head && hasNoEnd(head))) {
+            if (part.decoderResult().isFailure() || (part instanceof HttpResponse head && hasUnknownEnd(head))) {
                 fail(bytes, out);
                 return;
             }
             if (part instanceof HttpResponse head && head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                // Its empty body comes with it; the final response follows.
+                // The decoder adds an empty body to an informational response, and the final response follows.
                 out.subList(before, out.size()).clear();
                 state = State.BETWEEN_RESPONSES;
                 return;
@@ -88,7 +88,7 @@
         }
     }
 
-    /** A reset is reported by this first, and only then as the connection's end. */
+    /** Netty reports a reset here first, and as the end of the connection only after that. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) throws Exception {
         connectionReset = true;
@@ -96,8 +96,8 @@
     }
 
     /**
-     * A response without a length ends with its connection, but not with a reset: decoded to its end then, a truncated
-     * response would pass for a complete one and be committed.
+     * A response without a length ends with its connection, unless that was reset. If the response were decoded to its
+     * end after a reset, a truncated response would be taken for a complete one and be committed.
      */
     @Override
     protected void decodeLast(ChannelHandlerContext context, ByteBuf bytes, List<Object> out) throws Exception {
@@ -117,8 +117,8 @@
         return true;
     }
 
-    /** Without a length, on a connection that stays open, nobody can tell where the response ends. */
-    private boolean hasNoEnd(HttpResponse head) {
+    /** The end of a response cannot be determined if it has no length and its connection stays open. */
+    private boolean hasUnknownEnd(HttpResponse head) {
         return head.status().code() == STATUS_SWITCHING_PROTOCOLS
                 || (HttpUtil.isKeepAlive(head)
                         && !HttpUtil.isContentLengthSet(head)
@@ -131,18 +131,18 @@
         return listener.responseHasNoBody() || super.isContentAlwaysEmpty(head);
     }
 
-    /** Rejects a line without a colon, which Netty would take for a field named by its first word. */
+    /** Rejects a line without a colon, because Netty would use its first word as the name of a field. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
-            throw new IllegalArgumentException("no colon behind a field's name");
+            throw new IllegalArgumentException("header field name is not followed by a colon");
         }
         return super.splitHeaderName(line, start, length);
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
+        throw new IllegalArgumentException("response has both Content-Length and Transfer-Encoding");
     }
 
     private void fail(ByteBuf bytes, List<Object> out) {
--- a/sidecar/src/main/java/trestlegrade/outbound/ReuseAgeBound.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ReuseAgeBound.java
@@ -1,10 +1,11 @@
 package trestlegrade.outbound;
 
 /**
- * How long a connection may have been idle to carry a request that is not idempotent.
+ * Bounds how long a connection may have been idle before it serves a request that is not idempotent.
  *
- * <p>Endpoints may close idle connections sooner than they say. A request written just then breaks at once, may have
- * run, and must not be retried. The bound falls to half of the idle time at which that happened, and grows back slowly.
+ * <p>Endpoints may close idle connections sooner than they announce. A request that is written at that moment breaks
+ * immediately and must not be retried, because it may have run. The bound falls to half of the idle time at which that
+ * happened, and increases slowly again.
  */
 final class ReuseAgeBound {
     /** Doubles the bound in about 14 sweeps. */
@@ -22,8 +23,8 @@
         return idleTicks < boundTicks;
     }
 
-    /** An attempt broke at once on a connection that had been idle for this long. */
-    void brokeAfterIdle(long idleTicks) {
+    /** Lowers the bound after an attempt broke immediately on a connection that had been idle for this long. */
+    void recordBreakAfterIdle(long idleTicks) {
         boundTicks = Math.max(minTicks, Math.min(boundTicks, idleTicks / 2));
     }
 
--- a/sidecar/src/main/java/trestlegrade/outbound/SingleUseEndpoints.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/SingleUseEndpoints.java
@@ -5,28 +5,28 @@
 import trestlegrade.eventloop.MonotonicClock;
 
 /**
- * Endpoints that have lately sent bytes which belong to no attempt, some time behind a response. Such bytes may be a
- * second response, and one that comes later than the quarantine of its connection would be taken for the response to
- * the next attempt on it. So each connection to them carries one attempt.
+ * Endpoints that have recently sent bytes that belong to no attempt, some time after a response. Such bytes may be a
+ * second response. If a second response arrives after the quarantine of its connection, it is taken for the response to
+ * the next attempt on the connection. Each connection to these endpoints therefore serves only one attempt.
  */
 final class SingleUseEndpoints {
-    private static final long MILLIS = 60_000;
+    private static final long DURATION_MILLIS = 60_000;
 
-    /** By the endpoint's id: until when, in ticks. */
-    private final LongLongHashMap until = new LongLongHashMap();
+    /** The time until which an endpoint is single-use, in ticks, by the endpoint's id. */
+    private final LongLongHashMap expiryById = new LongLongHashMap();
 
-    /** The endpoint has sent late excess bytes. */
-    void begin(Endpoint endpoint, long now) {
-        until.put(endpoint.id, now + MILLIS * MonotonicClock.TICKS_PER_MILLI);
+    /** Adds an endpoint that has sent excess bytes late. */
+    void add(Endpoint endpoint, long now) {
+        expiryById.put(endpoint.id, now + DURATION_MILLIS * MonotonicClock.TICKS_PER_MILLI);
     }
 
-    /** Whether connections to the endpoint carry one attempt. */
+    /** Returns whether each connection to the endpoint serves only one attempt. */
     boolean contains(Endpoint endpoint, long now) {
-        return until.containsKey(endpoint.id) && now < until.get(endpoint.id);
+        return expiryById.containsKey(endpoint.id) && now < expiryById.get(endpoint.id);
     }
 
-    /** The endpoint is not used any more. */
+    /** Removes an endpoint that is no longer used. */
     void remove(Endpoint endpoint) {
-        until.remove(endpoint.id);
+        expiryById.remove(endpoint.id);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -97,8 +97,7 @@
         policyExecutor = new PolicyExecutor(loop, counters, startConfig.policySettings(), startConfig.seed(), lease);
         attemptSender = new AttemptSender(
                 loop, counters, policyExecutor::attemptEnded, startConfig, AttemptSender.QUARANTINE_MILLIS);
-        endpoints =
-                new EndpointRegistry(startConfig.zones(), startConfig.kinds(), attemptSender::closeIdle, counters);
+        endpoints = new EndpointRegistry(startConfig.zones(), startConfig.kinds(), attemptSender::closeIdle, counters);
         discovery = new DiscoveryClient(
                 loop,
                 counters,
--- a/sidecar/src/test/java/trestlegrade/outbound/ReuseAgeBoundTest.java
+++ b/sidecar/src/test/java/trestlegrade/outbound/ReuseAgeBoundTest.java
@@ -6,8 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An endpoint closes idle connections sooner than it says. A request that is not idempotent is written to one at that
- * moment, breaks, and must be abandoned, for it may have run. The bound keeps the next ones off such connections.
+ * An endpoint closes idle connections sooner than it announces. A request that is not idempotent, written to such a
+ * connection at that moment, breaks and must be abandoned, because it may have run. The bound keeps later requests off
+ * such connections.
  */
 class ReuseAgeBoundTest {
     private static final long MIN = 600;
@@ -18,23 +19,23 @@
     @Test
     void fallsToHalfOfTheIdleTimeAtWhichAConnectionBroke() {
         assertTrue(bound.allows(MAX - 1));
-        bound.brokeAfterIdle(20_000);
+        bound.recordBreakAfterIdle(20_000);
         assertTrue(bound.allows(9_999));
         assertFalse(bound.allows(10_000));
-        bound.brokeAfterIdle(60_000);
-        assertFalse(bound.allows(10_000), "a later break of an older connection must not raise it");
+        bound.recordBreakAfterIdle(60_000);
+        assertFalse(bound.allows(10_000), "a later break on a connection idle for longer must not raise the bound");
     }
 
     @Test
     void staysAtItsMinimum() {
-        bound.brokeAfterIdle(2);
+        bound.recordBreakAfterIdle(2);
         assertTrue(bound.allows(MIN - 1));
         assertFalse(bound.allows(MIN));
     }
 
     @Test
     void growsBackToItsMaximum() {
-        bound.brokeAfterIdle(2);
+        bound.recordBreakAfterIdle(2);
         for (int sweep = 0; sweep < 15; sweep++) {
             bound.grow(MAX);
         }
