--- a/sidecar/src/main/java/trestlegrade/Main.java
+++ b/sidecar/src/main/java/trestlegrade/Main.java
@@ -14,12 +14,12 @@
 import trestlegrade.simulator.MalformedFrameException;
 import trestlegrade.simulator.SimulatorAdapter;
 
-/** The command line. */
+/** Entry point: parses the command line and runs the command that it names. */
 @Command(
         name = "trestlegrade",
         mixinStandardHelpOptions = true,
         version = "trestlegrade 0.1.0",
-        description = "A load balancer of which every client process has its own copy.")
+        description = "A client-side load balancer that runs as a sidecar of each client process.")
 public final class Main implements Callable<Integer> {
     private static final int SIMULATOR_BUFFER_BYTES = 64 << 10;
 
@@ -32,21 +32,22 @@
         return CommandLine.ExitCode.USAGE;
     }
 
-    /** Makes the decisions for the sidecars of a simulator, on standard input and output. */
+    /** Makes the load balancing decisions for the sidecars of a simulator, over standard input and output. */
     @Command(
             name = "simulator",
             mixinStandardHelpOptions = true,
-            description = "Makes the decisions for the sidecars of a simulator, on standard input and output.")
+            description = "Makes the load balancing decisions for the sidecars of a simulator, over standard input"
+                    + " and output.")
     int simulator() {
         return runSimulator("simulator");
     }
 
-    /** The former name of {@link #simulator}. */
+    /** Former name of {@link #simulator}. */
     @Command(
             name = "benchlink",
             hidden = true,
             mixinStandardHelpOptions = true,
-            description = "The former name of simulator.")
+            description = "Former name of simulator.")
     int benchlink() {
         return runSimulator("benchlink");
     }
@@ -61,16 +62,16 @@
         } catch (MalformedFrameException e) {
             System.err.println(command + ": malformed input: " + e.getMessage());
         } catch (IOException e) {
-            System.err.println(command + ": input or output failed: " + e.getMessage());
+            System.err.println(command + ": I/O error: " + e.getMessage());
         }
         return CommandLine.ExitCode.SOFTWARE;
     }
 
-    /** Serves as one sidecar; SIGTERM ends the program from inside, so this returns only if it could not start. */
+    /** Runs one sidecar. SIGTERM exits the process from within, so this returns only if the sidecar could not start. */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
-            description = "Serves as one sidecar, as the file that LB_CONFIG names says, until SIGTERM.")
+            description = "Runs one sidecar, configured by the file that LB_CONFIG names, until SIGTERM.")
     public int serve() {
         return serve(ReloadSignal.install());
     }
@@ -80,27 +81,25 @@
         return CommandLine.ExitCode.SOFTWARE;
     }
 
-    /** Starts a sidecar on a free port of loopback until it is ready. */
+    /** Starts a sidecar on a free loopback port and waits until it is ready, to check that it works on this host. */
     @Command(
             name = "warmup",
             mixinStandardHelpOptions = true,
-            description = "Starts a sidecar on a free port of loopback until it is ready: does it work here?")
+            description = "Starts a sidecar on a free loopback port and waits until it is ready, to check that it"
+                    + " works on this host.")
     public int warmUp() {
         return checkStartup("warmup");
     }
 
-    /** The former name of {@link #warmUp}. */
-    @Command(
-            name = "rehearse",
-            hidden = true,
-            mixinStandardHelpOptions = true,
-            description = "The former name of warmup.")
+    /** Former name of {@link #warmUp}. */
+    @Command(name = "rehearse", hidden = true, mixinStandardHelpOptions = true, description = "Former name of warmup.")
     public int rehearse() {
         return checkStartup("rehearse");
     }
 
     private static int checkStartup(String command) {
-        // The class data archive is made by this command, and holds what it uses.
+        // The build records the class data archive while it runs this command, and the archive holds only the classes
+        // that the command uses. The handler is installed here so that its classes are among them.
         ReloadSignal.install();
         try {
             System.out.println(command + ": ready after " + StartupCheck.run() + " transactions");
@@ -111,10 +110,11 @@
         }
     }
 
-    /** Runs the command that the arguments name, and exits with its status. */
+    /** Runs the command that the arguments name and exits with its status. */
     public static void main(String[] args) {
-        // The JVM's class data archive cannot hold picocli, whose class files are of an old format. Loading it costs as
-        // much as the rest of the start, and after a release many sidecars start at once.
+        // This command bypasses picocli. The class data archive cannot hold picocli, because its class files have an
+        // old format. Loading it costs as much as the rest of the start, and after a release many sidecars start at
+        // once.
         if (args.length == 1 && args[0].equals("serve")) {
             System.exit(serve(ReloadSignal.install()));
         }
