--- a/sidecar/src/main/java/trestlegrade/metrics/AsyncLog.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/AsyncLog.java
@@ -7,20 +7,20 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes log lines on a thread of its own. While nobody reads the log its pipe is full and a write blocks: lines wait
- * then, and once too many wait further ones are counted and dropped, so that neither the event loop nor the memory
- * depends on the reader. Safe for use by any thread.
+ * Writes log lines on a dedicated thread. While nobody reads the log, its pipe is full and writes block. Lines are
+ * queued then, and once the queue is full further lines are dropped and counted, so that neither the event loop nor the
+ * memory in use depends on the reader. Thread-safe.
  */
 public final class AsyncLog {
     /** About half a megabyte of lines. */
-    private static final int MAX_WAITING_LINES = 2048;
+    private static final int MAX_QUEUED_LINES = 2048;
 
     private static final long FLUSH_TIMEOUT_MILLIS = 300;
 
-    private final BlockingQueue<Runnable> lines = new ArrayBlockingQueue<>(MAX_WAITING_LINES);
+    private final BlockingQueue<Runnable> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final AtomicLong dropped = new AtomicLong();
 
-    /** A log with its thread running; the thread does not keep the program alive. */
+    /** Starts the writer thread, a daemon that does not keep the process alive. */
     public AsyncLog() {
         Thread writer = new Thread(this::write, "log");
         writer.setDaemon(true);
@@ -37,19 +37,19 @@
         }
     }
 
-    /** Appends a line: an action that writes it, run on the log's thread. */
+    /** Queues a line, given as the action that writes it on the writer thread; drops it if the queue is full. */
     public void add(Runnable line) {
         if (!lines.offer(line)) {
             dropped.incrementAndGet();
         }
     }
 
-    /** Lines dropped since the start. */
+    /** Returns the number of lines dropped since the start. */
     public long dropped() {
         return dropped.get();
     }
 
-    /** Waits until all lines are written, but no longer than the end of the program can wait. */
+    /** Waits until all queued lines are written, with a timeout that the shutdown of the process can afford. */
     public void flush() {
         CountDownLatch written = new CountDownLatch(1);
         add(written::countDown);
--- a/sidecar/src/main/java/trestlegrade/metrics/Counters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/Counters.java
@@ -14,66 +14,66 @@
 import trestlegrade.policy.request.AttemptOutcome;
 
 /**
- * What this sidecar took in, sent and answered since its start.
+ * Counters, gauges and histograms of one sidecar since its start.
  *
- * <p>Counters only grow, gauges are read when somebody asks for them, histograms hold durations in ticks. All belong to
- * the event loop but for {@link #acceptFailed}, which the listener's thread calls, and {@link Turns}.
+ * <p>Counters only grow, gauges are read on demand, and histograms hold durations in ticks. All are confined to the
+ * event loop, except {@link #acceptFailed}, which the listener's thread calls, and {@link Turns}.
  */
 public final class Counters {
     private static final long ACCEPT_FAILURE_LOG_INTERVAL_NANOS = 1_000_000_000;
     /** One minute. */
     private static final long HISTOGRAM_MAX_TICKS = 60_000 * MonotonicClock.TICKS_PER_MILLI;
 
-    private static final int HISTOGRAM_DIGITS = 2;
+    private static final int HISTOGRAM_SIGNIFICANT_DIGITS = 2;
 
     public final AsyncLog log;
     public final Turns turns = new Turns();
     public final RejectionCounters rejections;
 
-    /** Counter: transactions whose last byte was read and that were valid. */
+    /** Counter: valid transactions that were read completely. */
     public long accepted;
-    /** Counter: transactions answered with an endpoint's commit. */
+    /** Counter: transactions whose final response was an endpoint's commit. */
     public long committed;
-    /** Counter: transactions answered with a rollback. */
+    /** Counter: transactions whose final response was a rollback. */
     public long rolledBack;
-    /** Counter: transactions answered without a promise about their effect. */
+    /** Counter: transactions whose final response left their effect unknown. */
     public long abandoned;
-    /** Counter: transactions whose client disconnected before the answer. */
+    /** Counter: transactions whose client disconnected before the final response. */
     public long clientsDisconnected;
     /** Counter: attempts written to a connection. */
     public long attemptsSent;
     /** Counter: connections to endpoints that were requested. */
     public long connectionsRequested;
-    /** Counter: attempts not sent since all descriptors for connections were in use. */
+    /** Counter: attempts not sent because all file descriptors for connections were in use. */
     public long descriptorsExhausted;
-    /** Counter: lines of discovery's watch. */
+    /** Counter: lines received from watches of discovery. */
     public long listLines;
-    /** Counter: watches of discovery that were begun. */
+    /** Counter: watches of discovery that were started. */
     public long watches;
-    /** Counter: lines of discovery's watch that could not be used. */
+    /** Counter: lines received from watches of discovery that could not be used. */
     public long badLines;
-    /** Counter: entries of endpoint lists that could not be read. */
+    /** Counter: malformed entries of endpoint lists. */
     public long badEntries;
-    /** Counter: how often the lease on the endpoint list expired. */
+    /** Counter: expirations of the lease on the endpoint list. */
     public long leasesExpired;
-    /** Histogram: how long committed attempts took, in ticks. */
-    public final Histogram attemptDurationTicks = new Histogram(HISTOGRAM_MAX_TICKS, HISTOGRAM_DIGITS);
-    /** Histogram: the lag of the event loop, in ticks. */
-    public final Histogram loopLagTicks = new Histogram(HISTOGRAM_MAX_TICKS, HISTOGRAM_DIGITS);
+    /** Histogram: duration of committed attempts, in ticks. */
+    public final Histogram attemptDurationTicks = new Histogram(HISTOGRAM_MAX_TICKS, HISTOGRAM_SIGNIFICANT_DIGITS);
+    /** Histogram: lag of the event loop, in ticks. */
+    public final Histogram loopLagTicks = new Histogram(HISTOGRAM_MAX_TICKS, HISTOGRAM_SIGNIFICANT_DIGITS);
 
     private final LongAdder acceptsFailed = new LongAdder();
-    private volatile long acceptFailureLoggedNanos = System.nanoTime() - ACCEPT_FAILURE_LOG_INTERVAL_NANOS;
+    private volatile long lastAcceptFailureLogNanos = System.nanoTime() - ACCEPT_FAILURE_LOG_INTERVAL_NANOS;
     private final Map<AttemptOutcome, Long> attemptsByOutcome = new EnumMap<>(AttemptOutcome.class);
     private final Map<Integer, Long> rejectionsByStatus = new TreeMap<>();
     private final Map<String, Long> connectionsEnded = new TreeMap<>();
     private final Map<String, LongSupplier> gauges = new TreeMap<>();
 
-    /** Counters: turns of the event loops, in which sockets were looked at; only those loops write them. */
+    /** Counters: turns of the event loops, each of which polls the sockets. Only the event loops write them. */
     public static final class Turns {
         private final LongAdder all = new LongAdder();
         private final LongAdder idle = new LongAdder();
 
-        /** Counts one turn that handled so many events of sockets. */
+        /** Counts one turn that handled the given number of socket events. */
         public void count(int handled) {
             all.increment();
             if (handled == 0) {
@@ -81,41 +81,41 @@
             }
         }
 
-        /** All turns so far. */
+        /** Returns the number of turns so far, idle ones included. */
         public long all() {
             return all.sum();
         }
     }
 
-    /** Counters at 0, whose lines go to the log. */
+    /** Creates counters at 0 that write their log lines to the given log. */
     public Counters(AsyncLog log) {
         this.log = log;
         rejections = new RejectionCounters(log);
     }
 
-    /** One attempt has ended. */
-    public void attempt(AttemptOutcome outcome) {
+    /** Counts the end of one attempt. */
+    public void attemptEnded(AttemptOutcome outcome) {
         attemptsByOutcome.merge(outcome, 1L, Long::sum);
     }
 
-    /** How long a committed attempt took; what is over the histogram's limit counts as that. */
+    /** Records the duration of a committed attempt; a duration above the histogram's maximum is recorded as that. */
     public void recordAttemptDuration(long ticks) {
         attemptDurationTicks.recordValue(Math.min(ticks, attemptDurationTicks.getHighestTrackableValue()));
     }
 
-    /** A request that is no transaction was answered with this status. */
+    /** Counts a request that was rejected with this HTTP status before it became a transaction. */
     public void rejected(int status) {
         rejectionsByStatus.merge(status, 1L, Long::sum);
     }
 
-    /** The system could not accept a client, which waits in the listener's queue. */
+    /** Counts a failed accept, after which the client stays in the listener's backlog; logs at most one a second. */
     public void acceptFailed(IOException cause) {
         acceptsFailed.increment();
         long now = System.nanoTime();
-        if (now - acceptFailureLoggedNanos < ACCEPT_FAILURE_LOG_INTERVAL_NANOS) {
+        if (now - lastAcceptFailureLogNanos < ACCEPT_FAILURE_LOG_INTERVAL_NANOS) {
             return;
         }
-        acceptFailureLoggedNanos = now;
+        lastAcceptFailureLogNanos = now;
         long failed = acceptsFailed.sum();
         log.add(() -> Logger.warn("client code=accept-failed cause={} failed_so_far={}", cause.getMessage(), failed));
     }
@@ -123,23 +123,23 @@
     /**
      * Counts and logs the end of one connection.
      *
-     * @param side which kind of connection it is: client, pooled or watch
-     * @param code why it ended
-     * @param carried how many messages it carried
-     * @param openTicks how long it was open
+     * @param kind kind of the connection: client, pooled or watch
+     * @param code reason for its end
+     * @param messages number of messages that it served
+     * @param openTicks duration for which it was open
      */
-    public void connectionEnded(String side, String code, String peer, int carried, long openTicks) {
-        connectionsEnded.merge(side + ":" + code, 1L, Long::sum);
+    public void connectionEnded(String kind, String code, String peer, int messages, long openTicks) {
+        connectionsEnded.merge(kind + ":" + code, 1L, Long::sum);
         log.add(() -> Logger.info(
                 "{} code={} peer={} carried={} open_ms={}",
-                side,
+                kind,
                 code,
                 peer,
-                carried,
+                messages,
                 openTicks / MonotonicClock.TICKS_PER_MILLI));
     }
 
-    private static JsonObject milliseconds(Histogram ticks) {
+    private static JsonObject summaryInMillis(Histogram ticks) {
         return new JsonObject()
                 .put("count", ticks.getTotalCount())
                 .put("p50", ticks.getValueAtPercentile(50) / (double) MonotonicClock.TICKS_PER_MILLI)
@@ -147,38 +147,39 @@
                 .put("max", ticks.getMaxValue() / (double) MonotonicClock.TICKS_PER_MILLI);
     }
 
-    /** Registers a gauge. */
-    public void gauge(String name, LongSupplier value) {
+    /** Registers a gauge, which the event loop reads whenever the gauges are reported. */
+    public void registerGauge(String name, LongSupplier value) {
         gauges.put(name, value);
     }
 
-    /** The gauges by name, as they are now. */
+    /** Returns the current values of the gauges, by name. */
     public JsonObject gauges() {
         JsonObject now = new JsonObject();
         gauges.forEach((name, value) -> now.put(name, value.getAsLong()));
         return now;
     }
 
-    /** All counters, gauges and histograms, as the target {@code /_counters} and the last line of the log give them. */
+    /** Returns all counters, gauges and histograms, for the target {@code /_counters} and the last line of the log. */
     public JsonObject report() {
-        JsonObject ends = new JsonObject();
-        attemptsByOutcome.forEach((outcome, n) -> ends.put(outcome.name().toLowerCase(Locale.ROOT), n));
-        JsonObject byStatus = new JsonObject();
-        rejectionsByStatus.forEach((status, n) -> byStatus.put(status.toString(), n));
-        JsonObject codes = new JsonObject();
-        connectionsEnded.forEach(codes::put);
+        JsonObject attemptsEnded = new JsonObject();
+        attemptsByOutcome.forEach(
+                (outcome, n) -> attemptsEnded.put(outcome.name().toLowerCase(Locale.ROOT), n));
+        JsonObject rejected = new JsonObject();
+        rejectionsByStatus.forEach((status, n) -> rejected.put(status.toString(), n));
+        JsonObject connectionsByCode = new JsonObject();
+        connectionsEnded.forEach(connectionsByCode::put);
         return new JsonObject()
                 .put("accepted", accepted)
                 .put("committed", committed)
                 .put("rolled_back", rolledBack)
                 .put("abandoned", abandoned)
                 .put("clients_left", clientsDisconnected)
-                .put("rejected", byStatus)
+                .put("rejected", rejected)
                 .put("attempts_sent", attemptsSent)
-                .put("attempts_ended", ends)
+                .put("attempts_ended", attemptsEnded)
                 .put("connects", connectionsRequested)
                 .put("no_descriptor", descriptorsExhausted)
-                .put("connections_ended", codes)
+                .put("connections_ended", connectionsByCode)
                 .put("list_lines", listLines)
                 .put("watches", watches)
                 .put("list_lines_bad", badLines)
@@ -190,7 +191,7 @@
                 .put("rejections", rejections.report())
                 .put("now", gauges())
                 .put("log_lines_dropped", log.dropped())
-                .put("attempt_ms", milliseconds(attemptDurationTicks))
-                .put("loop_late_ms", milliseconds(loopLagTicks));
+                .put("attempt_ms", summaryInMillis(attemptDurationTicks))
+                .put("loop_late_ms", summaryInMillis(loopLagTicks));
     }
 }
--- a/sidecar/src/main/java/trestlegrade/metrics/RejectionCounters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/RejectionCounters.java
@@ -11,61 +11,61 @@
 import trestlegrade.inbound.ProtocolFields;
 import trestlegrade.policy.request.RejectionReason;
 
-/** Counts the transactions that end without a commit by their reason, and logs a sample of each reason. */
+/** Counts the transactions that end without a commit, by reason, and logs a sample of each reason. */
 public final class RejectionCounters {
-    /** Between two samples of one reason: an overload must not fill the log. */
+    /** Minimum time between two logged samples of one reason, so that an overload does not flood the log. */
     private static final long SAMPLE_INTERVAL_TICKS = 1_000 * MonotonicClock.TICKS_PER_MILLI;
 
-    private final Map<RejectionReason, Tally> tallies = new EnumMap<>(RejectionReason.class);
+    private final Map<RejectionReason, ReasonCounter> byReason = new EnumMap<>(RejectionReason.class);
     private final AsyncLog log;
 
-    /** The figures of one reason. */
-    private static final class Tally {
+    private static final class ReasonCounter {
         private long rolledBack;
         private long abandoned;
-        private long sampledAt = Long.MIN_VALUE / 2;
-        private long sinceSample;
+        private long lastSampleTicks = Long.MIN_VALUE / 2;
+        /** Transactions since the last sample. */
+        private long sinceLastSample;
     }
 
     RejectionCounters(AsyncLog log) {
         this.log = log;
-        for (RejectionReason each : RejectionReason.values()) {
-            tallies.put(each, new Tally());
+        for (RejectionReason reason : RejectionReason.values()) {
+            byReason.put(reason, new ReasonCounter());
         }
     }
 
-    /** A transaction was answered with a rollback; {@code now} is in ticks. */
+    /** Counts a transaction whose final response was a rollback; {@code now} is in ticks. */
     public void rolledBack(long now, InboundRequest request, RejectionReason reason) {
-        tallies.get(reason).rolledBack++;
+        byReason.get(reason).rolledBack++;
         sample(now, request, reason, "rolled-back");
     }
 
-    /** A transaction was answered without a promise about its effect; {@code now} is in ticks. */
+    /** Counts a transaction whose final response left its effect unknown; {@code now} is in ticks. */
     public void abandoned(long now, InboundRequest request, RejectionReason reason) {
-        tallies.get(reason).abandoned++;
+        byReason.get(reason).abandoned++;
         sample(now, request, reason, "abandoned");
     }
 
     private void sample(long now, InboundRequest request, RejectionReason reason, String code) {
-        Tally tally = tallies.get(reason);
-        tally.sinceSample++;
-        if (now - tally.sampledAt < SAMPLE_INTERVAL_TICKS) {
+        ReasonCounter counter = byReason.get(reason);
+        counter.sinceLastSample++;
+        if (now - counter.lastSampleTicks < SAMPLE_INTERVAL_TICKS) {
             return;
         }
-        tally.sampledAt = now;
+        counter.lastSampleTicks = now;
         String id = request.head.headers().get(ProtocolFields.TRACE_ID);
         String endpoints = attemptedEndpoints(request);
-        long leftMillis = (request.metadata.deadline() - now) / MonotonicClock.TICKS_PER_MILLI;
-        long sinceSample = tally.sinceSample;
-        tally.sinceSample = 0;
+        long remainingMillis = (request.metadata.deadline() - now) / MonotonicClock.TICKS_PER_MILLI;
+        long sinceLastSample = counter.sinceLastSample;
+        counter.sinceLastSample = 0;
         log.add(() -> Logger.info(
                 "transaction code={} reason={} id={} attempts={} left_ms={} like_it={}",
                 code,
                 name(reason),
                 id,
                 endpoints,
-                leftMillis,
-                sinceSample));
+                remainingMillis,
+                sinceLastSample));
     }
 
     private static String attemptedEndpoints(InboundRequest request) {
@@ -78,12 +78,12 @@
         return reason.name().toLowerCase(Locale.ROOT);
     }
 
-    /** By reason, how many were rolled back and how many abandoned. */
+    /** Returns the numbers of transactions rolled back and abandoned, by reason. */
     public JsonObject report() {
         JsonObject report = new JsonObject();
-        tallies.forEach((reason, tally) -> report.put(
+        byReason.forEach((reason, counter) -> report.put(
                 name(reason),
-                new JsonObject().put("rolled_back", tally.rolledBack).put("abandoned", tally.abandoned)));
+                new JsonObject().put("rolled_back", counter.rolledBack).put("abandoned", counter.abandoned)));
         return report;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -140,7 +140,7 @@
         events.submit(() -> {
             InboundRequest request = attempt.request;
             request.out--;
-            counters.attempt(outcome);
+            counters.attemptEnded(outcome);
             if (outcome == AttemptOutcome.COMMITTED) {
                 commit(attempt);
             }
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -140,16 +140,16 @@
 
     /** What is open now: each figure is back at 0 once nothing is under way. */
     private void registerGauges() {
-        counters.gauge("transactions", policyExecutor::openTransactions);
-        counters.gauge("held_transactions", policyExecutor::heldTransactions);
-        counters.gauge("policy_generations", policyExecutor::generationCount);
-        counters.gauge("open_ids", inboundServer::openTraceIds);
-        counters.gauge("request_body_kb", () -> inboundServer.requestBodyBytes() >> 10);
-        counters.gauge("answer_body_kb", () -> attemptSender.responseBodyBytes() >> 10);
-        counters.gauge("clients", inboundServer::connections);
-        counters.gauge("pooled", attemptSender::connections);
-        counters.gauge("list_version", discovery::version);
-        counters.gauge("list_age_ms", discovery::ageMillis);
+        counters.registerGauge("transactions", policyExecutor::openTransactions);
+        counters.registerGauge("held_transactions", policyExecutor::heldTransactions);
+        counters.registerGauge("policy_generations", policyExecutor::generationCount);
+        counters.registerGauge("open_ids", inboundServer::openTraceIds);
+        counters.registerGauge("request_body_kb", () -> inboundServer.requestBodyBytes() >> 10);
+        counters.registerGauge("answer_body_kb", () -> attemptSender.responseBodyBytes() >> 10);
+        counters.registerGauge("clients", inboundServer::connections);
+        counters.registerGauge("pooled", attemptSender::connections);
+        counters.registerGauge("list_version", discovery::version);
+        counters.registerGauge("list_age_ms", discovery::ageMillis);
         HeapMonitor.start(loop.vertx(), counters);
     }
 
--- a/sidecar/src/main/java/trestlegrade/runtime/SidecarProcess.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/SidecarProcess.java
@@ -76,7 +76,7 @@
     /** The JVM can't undo it, so that the operators have to be told: reloads or the word to end would be lost. */
     private void reportIgnoredSignals() {
         List<HandledSignal> ignored = IgnoredSignals.ofThisProcess();
-        counters.gauge("ignored_signals", ignored::size);
+        counters.registerGauge("ignored_signals", ignored::size);
         if (!ignored.isEmpty()) {
             log.add(() -> Logger.error("serve code=signals-ignored signals={}", ignored));
         }
