--- a/sidecar/src/main/java/trestlegrade/runtime/ConfigReloader.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/ConfigReloader.java
@@ -8,27 +8,28 @@
 import trestlegrade.metrics.AsyncLog;
 
 /**
- * SIGHUP: reads the configuration file anew. Discovery's address and the settings change while the sidecar runs; any
- * other value holds until the program is restarted, and the log names those that differ.
+ * Reads the configuration file again on SIGHUP. Discovery's address and the settings take effect while the sidecar
+ * runs. All other values stay as they were at the start until the process restarts, and the log names those that
+ * differ.
  */
 final class ConfigReloader {
     private final SidecarConfig startConfig;
     private final Map<String, String> environment;
     private final AsyncLog log;
-    /** Takes a configuration that has been read; hands it over to the event loop. */
-    private final Consumer<SidecarConfig> target;
+    /** Applies a configuration that has been read, on the event loop. */
+    private final Consumer<SidecarConfig> applier;
 
     ConfigReloader(
-            SidecarConfig startConfig, Map<String, String> environment, AsyncLog log, Consumer<SidecarConfig> target) {
+            SidecarConfig startConfig, Map<String, String> environment, AsyncLog log, Consumer<SidecarConfig> applier) {
         this.startConfig = startConfig;
         this.environment = environment;
         this.log = log;
-        this.target = target;
+        this.applier = applier;
     }
 
     /**
-     * Reads the file and hands it over. Each signal has a thread of its own; synchronized, so that the last one to read
-     * is the last one to hand over.
+     * Reads the file and applies it. Synchronized, because each signal is handled on its own thread and the file that
+     * was read last has to be applied last.
      */
     synchronized void reload() {
         SidecarConfig config;
@@ -40,6 +41,6 @@
         }
         log.add(() -> Logger.info(
                 "reload code=read discovery={} at_restart={}", config.discovery(), startConfig.differsIn(config)));
-        target.accept(config);
+        applier.accept(config);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
@@ -7,35 +7,38 @@
 import trestlegrade.eventloop.EventLoopContext;
 
 /**
- * The events that wait for a decision. Any thread may submit them; they run one after the other on the event loop, and
- * all events of one turn see the same time.
+ * Queue of the events that the load balancing policy handles. Any thread may submit events. They run one after another
+ * on the event loop, and all events of one turn see the same time.
  */
 final class PolicyEventQueue {
     private final EventLoopContext loop;
-    private final Consumer<RuntimeException> faultHandler;
-    /** Run before all other events: after a stall no transaction may be decided on by an outdated endpoint list. */
+    private final Consumer<RuntimeException> errorHandler;
+    /**
+     * These run before all other events, because after an event loop stall no transaction may be decided on with an
+     * outdated endpoint list.
+     */
     private final Queue<Runnable> endpointListEvents = new ConcurrentLinkedQueue<>();
 
     private final Queue<Runnable> events = new ConcurrentLinkedQueue<>();
     private final AtomicBoolean turnScheduled = new AtomicBoolean();
     private long now;
 
-    PolicyEventQueue(EventLoopContext loop, Consumer<RuntimeException> faultHandler) {
+    PolicyEventQueue(EventLoopContext loop, Consumer<RuntimeException> errorHandler) {
         this.loop = loop;
-        this.faultHandler = faultHandler;
+        this.errorHandler = errorHandler;
     }
 
-    /** The time of the turn under way, in ticks; it never goes back. Event loop only. */
+    /** Returns the time of the current turn, in ticks; it never decreases. Event loop only. */
     long now() {
         return now;
     }
 
-    /** Appends an event; called from any thread. */
+    /** Queues an event. Thread-safe. */
     void submit(Runnable event) {
         submitTo(events, event);
     }
 
-    /** Appends an event of the endpoint list, which runs before the others; called from any thread. */
+    /** Queues an event of the endpoint list, which runs before all other events. Thread-safe. */
     void submitEndpointListEvent(Runnable event) {
         submitTo(endpointListEvents, event);
     }
@@ -54,10 +57,9 @@
             try {
                 event.run();
             } catch (RuntimeException e) {
-                // A faulty event must not keep the others from running. A fault within onTick ends the ticks of its
-                // generation
-                // until its next arrival.
-                faultHandler.accept(e);
+                // An event that fails must not keep the others from running. A failure within onTick ends the ticks of
+                // its generation until the next transaction arrives there.
+                errorHandler.accept(e);
             }
         }
     }
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -20,11 +20,12 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * Owns the decisions and the open transactions; all calls of the decisions are made on the event loop.
+ * Owns the load balancers and the open transactions, and calls the load balancers on the event loop only.
  *
- * <p>Socket code reports what happened; each report becomes an event of a {@link PolicyEventQueue}, is passed to the
- * {@link LoadBalancer} of the transaction's {@link PolicyGeneration}, and the actions that this asks for are carried
- * out here. Final answers are given here too, so that no attempt can be sent for a transaction behind its answer.
+ * <p>Socket code reports events to this class. Each one is queued in a {@link PolicyEventQueue} and passed to the
+ * {@link LoadBalancer} of the transaction's {@link PolicyGeneration}, and this class carries out the actions that the
+ * load balancer asks for. Final responses are given here too, so that no attempt can be sent for a transaction after
+ * its final response.
  */
 public final class PolicyExecutor {
     private final EventLoopContext loop;
@@ -36,10 +37,14 @@
 
     private EndpointRegistry endpoints;
     private AttemptSender attemptSender;
-    private Runnable endpointListWatch;
+    private Runnable endpointListWatchStarter;
     private long lastTransactionId;
 
-    /** An executor that takes events, which are run after {@link #start}. The seed is that of the decisions. */
+    /**
+     * Creates an executor that accepts events, which run after {@link #start}.
+     *
+     * @param seed seeds the load balancer's random numbers
+     */
     public PolicyExecutor(
             EventLoopContext loop, Counters counters, PolicySettings settings, long seed, EndpointListLease lease) {
         this.loop = loop;
@@ -50,58 +55,58 @@
     }
 
     /**
-     * Begins with the endpoint list as it was last known, and watches for a newer one at once.
+     * Starts with the last known endpoint list, and immediately starts a watch for a newer one.
      *
-     * @param endpointListWatch starts a watch of the endpoint list unless one is open
-     * @param lastKnownList entries of the list that the configuration file gives
+     * @param endpointListWatchStarter starts a watch of the endpoint list unless one is open
+     * @param lastKnownList entries of the list in the configuration file
      */
     public void start(
             EndpointRegistry endpoints,
             AttemptSender attemptSender,
-            Runnable endpointListWatch,
+            Runnable endpointListWatchStarter,
             JsonArray lastKnownList) {
         this.endpoints = endpoints;
         this.attemptSender = attemptSender;
-        this.endpointListWatch = endpointListWatch;
+        this.endpointListWatchStarter = endpointListWatchStarter;
         events.submitEndpointListEvent(() -> {
             LoadBalancer loadBalancer = generations.current().loadBalancer();
             loadBalancer.start(events.now());
             loadBalancer.onEndpointUpdates(events.now(), endpoints.take(lastKnownList, true), true, true);
-            // The load balancer asks for the watch in some membership modes only; the list comes by it in all.
-            endpointListWatch.run();
+            // The load balancer asks for the watch in some membership modes only, but the list arrives by it in all.
+            endpointListWatchStarter.run();
         });
     }
 
     /**
-     * Uses new settings for all transactions that arrive from now on: a new generation begins with the endpoint list as
-     * it stands. Open transactions end under the settings that they were taken under.
+     * Uses new settings for all transactions that arrive from now on, by beginning a new generation with the current
+     * endpoint list. Open transactions end under the settings that they were accepted under.
      *
-     * @param zoneName this sidecar's zone, or null where the settings name none
+     * @param zoneName this sidecar's zone, or null if the settings have no zones
      */
     public void reload(PolicySettings settings, long seed, String zoneName) {
         events.submit(() -> {
-            PolicySettings zoned = zoneName == null ? settings : settings.inZone(endpoints.zone(zoneName));
-            generations.replaceCurrent(new PolicyGeneration(this, zoned, seed, lease));
+            PolicySettings zonedSettings = zoneName == null ? settings : settings.inZone(endpoints.zone(zoneName));
+            generations.replaceCurrent(new PolicyGeneration(this, zonedSettings, seed, lease));
             LoadBalancer loadBalancer = generations.current().loadBalancer();
             loadBalancer.start(events.now());
             loadBalancer.onEndpointUpdates(events.now(), endpoints.all(), true, true);
         });
     }
 
-    /** A request has been read to its last byte. */
+    /** Reports a request that has been read completely. */
     public void requestArrived(InboundRequest request) {
         events.submit(() -> {
             if (!request.wanted()) {
-                // Its client disconnected while it waited here, or before it was read.
+                // The client disconnected while the request was queued here, or before it was read.
                 request.clientLeft(counters);
-                forgetIfOver(request);
+                releaseIfFinished(request);
                 return;
             }
             PolicyGeneration generation = generations.current();
             request.id = ++lastTransactionId;
             openRequests.put(request.id, request);
             request.generation = generation;
-            generation.transactionTaken();
+            generation.transactionAccepted();
             long now = events.now();
             generation
                     .loadBalancer()
@@ -113,19 +118,19 @@
                             request.metadata.affinityKey(),
                             request.metadata.deadline() - now,
                             request.metadata.costHintTicks());
-            forgetIfOver(request);
+            releaseIfFinished(request);
         });
     }
 
-    /** The client of a request has disconnected. */
+    /** Reports that the client of a request has disconnected. */
     public void clientDisconnected(InboundRequest request) {
         events.submit(() -> {
-            cancelForClient(request);
-            forgetIfOver(request);
+            handleClientDisconnect(request);
+            releaseIfFinished(request);
         });
     }
 
-    private void cancelForClient(InboundRequest request) {
+    private void handleClientDisconnect(InboundRequest request) {
         if (request.over()) {
             return;
         }
@@ -135,7 +140,7 @@
         }
     }
 
-    /** An attempt has ended; each attempt is reported once. */
+    /** Reports the end of an attempt; called once for each attempt. */
     public void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome) {
         events.submit(() -> {
             InboundRequest request = attempt.request;
@@ -145,8 +150,8 @@
                 commit(attempt);
             }
             if (!request.wanted()) {
-                // The event of the disconnect may stand behind this one; no retry may be decided on before it.
-                cancelForClient(request);
+                // The event of the disconnect may be queued behind this one, and no retry may be decided on before it.
+                handleClientDisconnect(request);
             }
             request.generation
                     .loadBalancer()
@@ -157,7 +162,7 @@
                             outcome,
                             loop.clock().now() - attempt.startedTicks,
                             request.over());
-            forgetIfOver(request);
+            releaseIfFinished(request);
         });
     }
 
@@ -173,9 +178,10 @@
     }
 
     /**
-     * Discovery has brought a list, in the entries of its protocol.
+     * Reports an endpoint list, or a change of it, from discovery.
      *
-     * @param complete whether endpoints that it leaves out have left
+     * @param entries entries in the format of discovery's protocol
+     * @param complete whether endpoints that are not among the entries have left
      */
     public void applyEndpointList(JsonArray entries, boolean complete) {
         events.submitEndpointListEvent(() -> {
@@ -185,33 +191,33 @@
         });
     }
 
-    /** The watch of the endpoint list has ended without a successor. */
+    /** Reports that the watch of the endpoint list has ended and no other watch replaces it. */
     public void endpointListWatchFailed() {
         events.submitEndpointListEvent(
                 () -> generations.current().loadBalancer().onEndpointListFailed(events.now()));
     }
 
-    /** Graceful shutdown: each open transaction gets its final answer by then, a time in ticks. */
+    /** Begins the graceful shutdown: each open transaction gets its final response by this time, in ticks. */
     public void drainBy(long endTicks) {
         events.submit(() -> generations.forEachLoadBalancer(each -> each.shutDownBy(endTicks)));
     }
 
-    /** Transactions that wait for their final answer or have attempts in flight. */
+    /** Returns the number of transactions that wait for their final response or have attempts in flight. */
     public int openTransactions() {
         return openRequests.size();
     }
 
-    /** Transactions that the decisions still hold, under all settings in use. */
+    /** Returns the number of transactions that the load balancers of all generations still hold. */
     int heldTransactions() {
         return generations.heldTransactions();
     }
 
-    /** The number of sets of settings in use: the current one, and those with transactions open. */
+    /** Returns the number of generations in use: the current one, and those with open transactions. */
     int generationCount() {
         return generations.count();
     }
 
-    // The actions that a generation's load balancer asks for, from inside its events.
+    // Actions that a generation's load balancer asks for while it handles an event.
 
     void startAttempt(long transactionId, long endpointId, long timeoutTicks, long writeBeforeTicks) {
         InboundRequest request = openRequests.get(transactionId);
@@ -234,14 +240,14 @@
         InboundRequest request = openRequests.get(transactionId);
         counters.rejections.rolledBack(events.now(), request, reason);
         request.rollBack(retryAfterTicks, counters);
-        forgetIfOver(request);
+        releaseIfFinished(request);
     }
 
     void abandon(long transactionId, RejectionReason reason) {
         InboundRequest request = openRequests.get(transactionId);
         counters.rejections.abandoned(events.now(), request, reason);
         request.abandon(counters);
-        forgetIfOver(request);
+        releaseIfFinished(request);
     }
 
     void scheduleTick(LoadBalancer loadBalancer, long delayTicks) {
@@ -250,14 +256,15 @@
     }
 
     void watchEndpointList() {
-        endpointListWatch.run();
+        endpointListWatchStarter.run();
     }
 
     /**
-     * Forgets a request that has its answer and no attempt in flight. Called wherever an answer is given or an attempt
-     * ends, for either may come last; a missed call would leak the request and its body.
+     * Removes a request that is over and has no attempt in flight, and releases its memory. Called wherever a final
+     * response is given or an attempt ends, because either may come last; a missed call would leak the request and its
+     * body.
      */
-    private void forgetIfOver(InboundRequest request) {
+    private void releaseIfFinished(InboundRequest request) {
         if (!request.over() || request.out > 0) {
             return;
         }
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyGeneration.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyGeneration.java
@@ -7,11 +7,11 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * One set of settings in use, with the decisions made under it.
+ * One set of settings in use, with the load balancer that decides under it.
  *
- * <p>It begins at the start of the sidecar or at a SIGHUP with new settings, and takes all transactions that arrive
- * until the next one begins. From then on it is retiring: its open transactions are decided on by it until the last of
- * them has ended, so that no rule changes for a transaction under way. All calls are on the event loop.
+ * <p>A generation begins at the start of the sidecar or at a SIGHUP with new settings, and accepts all transactions
+ * that arrive until the next generation begins. From then on it is retiring: it decides on its open transactions until
+ * the last of them has ended, so that the rules never change for an open transaction. Confined to the event loop.
  */
 public final class PolicyGeneration implements PolicyActions {
     private final PolicyExecutor executor;
@@ -31,7 +31,7 @@
         return openTransactions > 0;
     }
 
-    void transactionTaken() {
+    void transactionAccepted() {
         openTransactions++;
     }
 
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyGenerations.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyGenerations.java
@@ -5,25 +5,25 @@
 import java.util.function.Consumer;
 import trestlegrade.policy.LoadBalancer;
 
-/** The generation that takes new transactions, and the retiring ones that still have transactions open. */
+/** The generation that accepts new transactions, and the retiring ones that still have open transactions. */
 final class PolicyGenerations {
     private PolicyGeneration current;
     private final List<PolicyGeneration> retiring = new ArrayList<>();
 
-    PolicyGenerations(PolicyGeneration first) {
-        current = first;
+    PolicyGenerations(PolicyGeneration initial) {
+        current = initial;
     }
 
     PolicyGeneration current() {
         return current;
     }
 
-    /** Number of sets of settings in use. */
+    /** Returns the number of generations in use, the current one included. */
     int count() {
         return 1 + retiring.size();
     }
 
-    /** Transactions that the decisions hold, under all settings in use. */
+    /** Returns the number of transactions that the load balancers of all generations hold. */
     int heldTransactions() {
         return current.loadBalancer().heldTransactions()
                 + retiring.stream()
@@ -31,7 +31,7 @@
                         .sum();
     }
 
-    /** Lets another generation take new transactions; the one before stays until its last transaction has ended. */
+    /** Has the next generation accept new transactions; the previous one is kept while it has open transactions. */
     void replaceCurrent(PolicyGeneration next) {
         PolicyGeneration previous = current;
         current = next;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** To be called once for each transaction that a generation has taken. */
+    /** Called once for each transaction that a generation has accepted; drops a retiring one after its last. */
     void transactionEnded(PolicyGeneration generation) {
         generation.transactionEnded();
         if (!generation.hasOpenTransactions()) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Calls the current generation's decisions first, then those of the retiring ones, oldest first. */
+    /** Calls the current generation's load balancer first, then those of the retiring generations, oldest first. */
     void forEachLoadBalancer(Consumer<LoadBalancer> action) {
         action.accept(current.loadBalancer());
         retiring.forEach(each -> action.accept(each.loadBalancer()));
--- a/sidecar/src/main/java/trestlegrade/runtime/ReloadSignal.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/ReloadSignal.java
@@ -1,46 +1,46 @@
 package trestlegrade.runtime;
 
 /**
- * SIGHUP, which ends a JVM unless it is handled. It is handled from the first moment of the program on, and one that
- * comes before the sidecar can reload is kept until it can.
+ * Handler of SIGHUP. An unhandled SIGHUP ends a JVM, so the handler is installed as the first step of the program. A
+ * signal that arrives before the sidecar can reload stays pending until it can.
  */
 public final class ReloadSignal {
     /** Null until the sidecar can reload. */
-    private Runnable reload;
+    private Runnable reloadAction;
 
     private boolean pending;
 
     private ReloadSignal() {}
 
-    /** Handles SIGHUP from now on. Only this internal class of the JDK can. */
+    /** Installs the handler, with the JDK's internal signal class, because there is no public API for it. */
     public static ReloadSignal install() {
-        ReloadSignal installed = new ReloadSignal();
-        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> installed.received());
-        return installed;
+        ReloadSignal reloadSignal = new ReloadSignal();
+        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> reloadSignal.onSignal());
+        return reloadSignal;
     }
 
-    /** Each signal has a thread of its own. */
-    private void received() {
-        Runnable now;
+    /** Called on a new thread for each signal. */
+    private void onSignal() {
+        Runnable action;
         synchronized (this) {
-            now = reload;
-            pending = now == null;
+            action = reloadAction;
+            pending = action == null;
         }
-        if (now != null) {
-            now.run();
+        if (action != null) {
+            action.run();
         }
     }
 
-    /** Calls {@code then} at each SIGHUP from now on, and once at once if any has come before. */
-    void whenReceived(Runnable then) {
-        boolean receivedBefore;
+    /** Runs the action at each SIGHUP from now on, and once immediately if one is pending. */
+    void setReloadAction(Runnable action) {
+        boolean wasPending;
         synchronized (this) {
-            reload = then;
-            receivedBefore = pending;
+            reloadAction = action;
+            wasPending = pending;
             pending = false;
         }
-        if (receivedBefore) {
-            then.run();
+        if (wasPending) {
+            action.run();
         }
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -23,12 +23,12 @@
 import trestlegrade.policy.lease.EndpointListLease;
 
 /**
- * One sidecar: makes its parts and connects them, hands reloaded settings to each, and drains. All methods but
+ * One sidecar: creates and wires its components, applies reloaded settings to them, and drains. All methods except
  * {@link #createVertx} are called on the sidecar's event loop.
  */
 public final class Sidecar {
-    /** From the start of the process until {@link #start}, as long as it may take on a part of a core. */
-    private static final long PROCESS_START_TICKS = 1_000 * MonotonicClock.TICKS_PER_MILLI;
+    /** Maximum duration from the start of the process to {@link #start}, on a fraction of a core. */
+    private static final long MAX_PROCESS_START_TICKS = 1_000 * MonotonicClock.TICKS_PER_MILLI;
 
     private final SidecarConfig startConfig;
     private final AsyncLog log;
@@ -55,7 +55,7 @@
         transport = new BoundedTransport(clientDescriptors, counters.turns, counters::acceptFailed);
     }
 
-    /** The one event loop of the sidecar, on the transport that bounds its clients. */
+    /** Creates a Vert.x instance with a single event loop, on the transport that bounds the number of clients. */
     Vertx createVertx() {
         return Vertx.builder()
                 .withTransport(transport.transport())
@@ -63,7 +63,7 @@
                         .setEventLoopPoolSize(1)
                         .setWorkerPoolSize(1)
                         .setInternalBlockingPoolSize(1)
-                        // EventLoopLag watches the loop; the library's checker would only cost processor time.
+                        // EventLoopLag monitors the loop, so Vert.x's own checker would only cost processor time.
                         .setBlockedThreadCheckInterval(Integer.MAX_VALUE)
                         .setFileSystemOptions(new FileSystemOptions()
                                 .setFileCachingEnabled(false)
@@ -72,17 +72,18 @@
     }
 
     /**
-     * Starts all parts, listens and warms up.
+     * Starts all components, listens and warms up.
      *
-     * @return the number of warm-up transactions once the sidecar calls itself healthy; failed if it can't listen
+     * @return completes with the number of warm-up transactions once the sidecar reports itself healthy; fails if the
+     *     sidecar cannot listen
      */
     Future<Integer> start(Vertx vertx, Context context) {
         MonotonicClock clock = new MonotonicClock();
         long startTicks = clock.now();
         EventLoopLag lag = new EventLoopLag(vertx, clock, counters.loopLagTicks);
         loop = new EventLoopContext(vertx, context, clock, lag);
-        lease = new EndpointListLease(startTicks - PROCESS_START_TICKS, startConfig.drainGraceTicks());
-        createParts();
+        lease = new EndpointListLease(startTicks - MAX_PROCESS_START_TICKS, startConfig.drainGraceTicks());
+        createComponents();
         registerGauges();
         policyExecutor.start(endpoints, attemptSender, discovery::watch, startConfig.initialEntries());
         return discovery
@@ -93,7 +94,7 @@
                 .onSuccess(transactions -> becomeReady(transactions, startTicks));
     }
 
-    private void createParts() {
+    private void createComponents() {
         policyExecutor = new PolicyExecutor(loop, counters, startConfig.policySettings(), startConfig.seed(), lease);
         attemptSender = new AttemptSender(
                 loop, counters, policyExecutor::attemptEnded, startConfig, AttemptSender.QUARANTINE_MILLIS);
@@ -138,7 +139,7 @@
         log.add(() -> Logger.info("serve code=ready warm_up_requests={} after_ms={}", warmUpTransactions, startMillis));
     }
 
-    /** What is open now: each figure is back at 0 once nothing is under way. */
+    /** Registers the gauges of the current state; those that count what is open return to 0 once nothing is open. */
     private void registerGauges() {
         counters.registerGauge("transactions", policyExecutor::openTransactions);
         counters.registerGauge("held_transactions", policyExecutor::heldTransactions);
@@ -154,8 +155,9 @@
     }
 
     /**
-     * SIGHUP: uses another configuration's address of discovery, and its settings for all transactions that arrive from
-     * now on; what happens to the open ones stands at {@link PolicyGeneration}. Does nothing before the start.
+     * Applies a reloaded configuration on SIGHUP: discovery's address, and the settings for all transactions that
+     * arrive from now on. Open transactions end as {@link PolicyGeneration} describes. Does nothing before
+     * {@link #start}.
      */
     void reload(SidecarConfig config) {
         if (discovery == null) {
@@ -182,12 +184,13 @@
     }
 
     /**
-     * SIGTERM: goes on serving as the phases of the graceful shutdown say; the callback runs when the program is to
-     * end.
+     * Begins the graceful shutdown on SIGTERM, during whose phases the sidecar still serves clients.
+     *
+     * @param onDrained called when the process is to exit
      */
-    void drain(Runnable drained) {
+    void drain(Runnable onDrained) {
         int open = policyExecutor.openTransactions();
         log.add(() -> Logger.info("serve code=draining open={}", open));
-        inboundServer.shutDown(drained);
+        inboundServer.shutDown(onDrained);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/SidecarProcess.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/SidecarProcess.java
@@ -13,7 +13,7 @@
 import trestlegrade.metrics.Counters;
 import trestlegrade.runtime.IgnoredSignals.HandledSignal;
 
-/** A sidecar as a process of its own: it starts, reloads on SIGHUP, and shuts down gracefully on SIGTERM. */
+/** Runs a sidecar as a process: starts it, reloads it on SIGHUP, and shuts it down gracefully on SIGTERM. */
 public final class SidecarProcess {
     private final Map<String, String> environment;
     private final ReloadSignal reloadSignal;
@@ -33,11 +33,11 @@
     }
 
     /**
-     * Serves until SIGTERM, which ends the program from inside. Returns only if the sidecar could not start; the reason
-     * is on the standard error output or in the log.
+     * Serves until SIGTERM, which exits the process from within. Returns only if the sidecar could not start, with the
+     * reason written to standard error or to the log.
      *
-     * @param environment the variables of the process; LB_CONFIG names the configuration file
-     * @param reloadSignal has the file read again
+     * @param environment environment variables of the process; LB_CONFIG names the configuration file
+     * @param reloadSignal triggers a reload of the configuration file
      */
     public static void serve(Map<String, String> environment, ReloadSignal reloadSignal) {
         SidecarConfig config;
@@ -61,19 +61,22 @@
                 startFailed.countDown();
             }
         });
-        ConfigReloader reloader =
-                new ConfigReloader(config, environment, log, read -> context.runOnContext(v -> sidecar.reload(read)));
-        reloadSignal.whenReceived(reloader::reload);
+        ConfigReloader reloader = new ConfigReloader(
+                config, environment, log, reloaded -> context.runOnContext(v -> sidecar.reload(reloaded)));
+        reloadSignal.setReloadAction(reloader::reload);
         reportIgnoredSignals();
-        // Not by the shutdown hook alone: the kill comes a fixed time after the signal, and each thread between the two
-        // may wait for a core.
+        // SIGTERM is handled directly, and not by the shutdown hook alone, because the process is killed a fixed time
+        // after the signal, and each thread that the JVM runs between the signal and the hook may wait for a core.
         sun.misc.Signal.handle(new sun.misc.Signal("TERM"), signal -> shutDown(context));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(context)));
         await(startFailed);
         log.flush();
     }
 
-    /** The JVM can't undo it, so that the operators have to be told: reloads or the word to end would be lost. */
+    /**
+     * Logs ignored signals as an error. The JVM cannot undo the parent's setting, so the operators have to know that
+     * reloads, or the request to shut down, will be lost.
+     */
     private void reportIgnoredSignals() {
         List<HandledSignal> ignored = IgnoredSignals.ofThisProcess();
         counters.registerGauge("ignored_signals", ignored::size);
@@ -83,8 +86,8 @@
     }
 
     /**
-     * SIGTERM: goes on serving through the phases of the graceful shutdown, until just before the operators kill the
-     * process at the latest. Further signals change nothing.
+     * Drains the sidecar on SIGTERM and exits, at the latest shortly before the operators kill the process. Further
+     * signals have no effect. Does nothing if the start has failed.
      */
     private void shutDown(Context context) {
         if (startFailed.getCount() == 0) {
@@ -97,7 +100,7 @@
         log.add(() ->
                 Logger.info("serve code=ended counters={}", counters.report().encode()));
         log.flush();
-        // A JVM that SIGTERM ends exits with 143, which would look like a fault.
+        // The JVM's own exit on SIGTERM has status 143, which would look like a failure.
         Runtime.getRuntime().halt(0);
     }
 
--- a/sidecar/src/main/java/trestlegrade/runtime/StartupCheck.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/StartupCheck.java
@@ -16,13 +16,12 @@
 import trestlegrade.metrics.Counters;
 
 /**
- * Starts a sidecar with a built-in configuration on a free port of loopback, waits until it is ready, sends some
- * requests, reloads it and ends it. The build runs it to record the classes that a sidecar loads, from its start to its
- * end.
+ * Starts a sidecar with a built-in configuration on a free loopback port, waits until it is ready, sends some requests,
+ * reloads it and drains it. The build runs it to record the classes that a sidecar loads from its start to its end.
  */
 public final class StartupCheck {
-    private static final long WITHIN_SECONDS = 20;
-    private static final int CHANGED_MAX_ATTEMPTS = 2;
+    private static final long TIMEOUT_SECONDS = 20;
+    private static final int RELOADED_MAX_ATTEMPTS = 2;
 
     private static final String CONFIG = """
             {"name":"rehearsal","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":256},
@@ -36,41 +35,43 @@
     private StartupCheck() {}
 
     /**
-     * Returns how many transactions the sidecar sent to itself before it was ready.
+     * Runs the check.
      *
-     * @throws IOException if there is no free port, or the sidecar does not answer
-     * @throws TimeoutException if the sidecar is not ready, or does not end, in time
+     * @return the number of warm-up transactions before the sidecar was ready
+     * @throws IOException if there is no free port, or the sidecar does not respond
+     * @throws TimeoutException if the sidecar is not ready or not drained in time
      */
     public static int run() throws IOException, TimeoutException {
         int port = freePort();
         try (StartupTraffic traffic = new StartupTraffic()) {
-            JsonObject file = new JsonObject(CONFIG).put("listen", "127.0.0.1:" + port);
-            file.getJsonObject("known").put("endpoints", traffic.entries());
+            JsonObject configJson = new JsonObject(CONFIG).put("listen", "127.0.0.1:" + port);
+            configJson.getJsonObject("known").put("endpoints", traffic.entries());
             Counters counters = new Counters(new AsyncLog());
-            Sidecar sidecar = new Sidecar(SidecarConfigReader.of(file, Map.of()), counters);
+            Sidecar sidecar = new Sidecar(SidecarConfigReader.of(configJson, Map.of()), counters);
             Vertx vertx = sidecar.createVertx();
             Context context = vertx.getOrCreateContext();
             int transactions = Future.<Integer>future(ready -> context.runOnContext(
                             v -> sidecar.start(vertx, context).onComplete(ready)))
-                    .await(WITHIN_SECONDS, TimeUnit.SECONDS);
+                    .await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             traffic.sendRequests(port);
-            reloadAndDrain(sidecar, context, file);
+            reloadAndDrain(sidecar, context, configJson);
             counters.report().encode();
             return transactions;
         }
     }
 
-    private static void reloadAndDrain(Sidecar sidecar, Context context, JsonObject file) throws TimeoutException {
-        file.getJsonObject("settings").getJsonObject("ceilings").put("max_hops", CHANGED_MAX_ATTEMPTS);
-        SidecarConfig changed = SidecarConfigReader.of(file, Map.of());
+    private static void reloadAndDrain(Sidecar sidecar, Context context, JsonObject configJson)
+            throws TimeoutException {
+        configJson.getJsonObject("settings").getJsonObject("ceilings").put("max_hops", RELOADED_MAX_ATTEMPTS);
+        SidecarConfig reloadedConfig = SidecarConfigReader.of(configJson, Map.of());
         Future.<Void>future(drained -> context.runOnContext(v -> {
-                    sidecar.reload(changed);
+                    sidecar.reload(reloadedConfig);
                     sidecar.drain(drained::tryComplete);
                 }))
-                .await(WITHIN_SECONDS, TimeUnit.SECONDS);
+                .await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** The port is free again when this returns, so that the sidecar can bind it. */
+    /** Returns a free loopback port, which is no longer bound here, so that the sidecar can bind it. */
     private static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return socket.getLocalPort();
--- a/sidecar/src/main/java/trestlegrade/runtime/StartupTraffic.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/StartupTraffic.java
@@ -13,26 +13,26 @@
 
 /**
  * Two endpoints and a client on loopback, for {@link StartupCheck}. Every second response of the endpoints is
- * malformed, so that the sidecar also retries and abandons: the classes of these paths belong into the record as well,
- * since a sidecar takes its first failure or SIGTERM on a machine that may be busy.
+ * malformed, so that the sidecar also retries and abandons transactions. The class data archive has to hold the classes
+ * of these paths as well, because a sidecar may meet its first failure or SIGTERM while the machine is busy.
  */
 final class StartupTraffic implements AutoCloseable {
     private static final int ENDPOINTS = 2;
-    private static final int REQUESTS_OF_EACH_PROFILE = 4;
-    private static final int ANSWER_TIMEOUT_MILLIS = 2_000;
+    private static final int REQUESTS_PER_PROFILE = 4;
+    private static final int RESPONSE_TIMEOUT_MILLIS = 2_000;
     private static final int BUFFER_BYTES = 4096;
-    private static final String MALFORMED = "noise";
-    private static final String GOOD = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    private static final String MALFORMED_RESPONSE = "noise";
+    private static final String VALID_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
     private final List<ServerSocket> listeners = new ArrayList<>();
     private final AtomicInteger responses = new AtomicInteger();
 
-    /** Listens at free ports and answers from now on. */
+    /** Starts the endpoints on free ports. */
     StartupTraffic() throws IOException {
         for (int i = 0; i < ENDPOINTS; i++) {
             ServerSocket listener = new ServerSocket(0, BUFFER_BYTES, InetAddress.getLoopbackAddress());
             listeners.add(listener);
-            inBackground(() -> accept(listener));
+            runInBackground(() -> accept(listener));
         }
     }
 
@@ -40,13 +40,13 @@
         void run() throws IOException;
     }
 
-    /** A task ends with its socket. */
-    private static void inBackground(SocketTask task) {
+    /** Runs a task on a daemon thread until its socket is closed. */
+    private static void runInBackground(SocketTask task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (IOException e) {
-                // The sidecar or the end of the check has closed the socket.
+                // The socket was closed by the sidecar or at the end of the check.
             }
         });
         thread.setDaemon(true);
@@ -56,7 +56,7 @@
     private void accept(ServerSocket listener) throws IOException {
         while (true) {
             Socket connection = listener.accept();
-            inBackground(() -> respond(connection));
+            runInBackground(() -> respond(connection));
         }
     }
 
@@ -64,13 +64,13 @@
         try (connection) {
             byte[] buffer = new byte[BUFFER_BYTES];
             while (connection.getInputStream().read(buffer) >= 0) {
-                String response = responses.getAndIncrement() % 2 == 0 ? MALFORMED : GOOD;
+                String response = responses.getAndIncrement() % 2 == 0 ? MALFORMED_RESPONSE : VALID_RESPONSE;
                 connection.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
             }
         }
     }
 
-    /** The endpoints as entries of an endpoint list. */
+    /** Returns the endpoints as entries of an endpoint list. */
     JsonArray entries() {
         JsonArray entries = new JsonArray();
         for (ServerSocket listener : listeners) {
@@ -87,23 +87,23 @@
         return entries;
     }
 
-    /** Sends requests of both profiles to the sidecar at this port, on one connection, whatever it answers. */
+    /** Sends requests of both profiles to the sidecar on this port, over one connection, and ignores the responses. */
     void sendRequests(int port) throws IOException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            client.setSoTimeout(ANSWER_TIMEOUT_MILLIS);
-            for (int i = 0; i < REQUESTS_OF_EACH_PROFILE; i++) {
-                request(client, "GET /read", i, "\r\n");
-                request(client, "POST /write", i, "Content-Length: 2\r\n\r\nok");
+            client.setSoTimeout(RESPONSE_TIMEOUT_MILLIS);
+            for (int i = 0; i < REQUESTS_PER_PROFILE; i++) {
+                sendRequest(client, "GET /read", i, "\r\n");
+                sendRequest(client, "POST /write", i, "Content-Length: 2\r\n\r\nok");
             }
-            request(client, "GET /_counters", 0, "\r\n");
+            sendRequest(client, "GET /_counters", 0, "\r\n");
         }
     }
 
-    private static void request(Socket client, String target, int number, String rest) throws IOException {
-        String head = target + " HTTP/1.1\r\nHost: localhost\r\nX-Trace-Id: " + target.substring(target.indexOf('/'))
-                + number + "\r\nX-Expires-In: 900m\r\n";
+    private static void sendRequest(Socket client, String methodAndTarget, int number, String rest) throws IOException {
+        String head = methodAndTarget + " HTTP/1.1\r\nHost: localhost\r\nX-Trace-Id: "
+                + methodAndTarget.substring(methodAndTarget.indexOf('/')) + number + "\r\nX-Expires-In: 900m\r\n";
         client.getOutputStream().write((head + rest).getBytes(StandardCharsets.ISO_8859_1));
-        // A short answer comes in one piece.
+        // A response is short enough to arrive in one read.
         client.getInputStream().read(new byte[BUFFER_BYTES]);
     }
 
--- a/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
@@ -20,29 +20,33 @@
 import trestlegrade.policy.lease.EndpointListLease;
 
 /**
- * Transactions that a sidecar sends to itself, with decisions of their own, before it calls itself healthy.
+ * JIT warm-up: sends transactions from the sidecar to itself, with a separate load balancer, before the sidecar reports
+ * itself healthy.
  *
- * <p>Interpreted code needs many times the processor time of compiled code for a transaction: a sidecar with a part of
- * a core that took traffic at once would not catch up with it. Transactions are sent in rounds, until a round is fast
- * enough or the limit of number or time is reached.
+ * <p>Interpreted code needs many times the processor time of compiled code for a transaction, so a sidecar on a
+ * fraction of a core that accepted traffic at once would fall behind and not catch up. Transactions are sent in rounds
+ * until a round is fast enough, or the maximum number of transactions or the maximum duration is reached.
  */
 public final class WarmUp implements InboundRequest.Client {
-    /** The request target for which the inbound server plays the endpoint until the sidecar is ready. */
+    /** The request target for which the inbound server acts as an endpoint until the sidecar is ready. */
     public static final String TARGET = "/_rehearsal";
 
-    private static final int ROUND_TRANSACTIONS = 50;
-    /** Fast enough for any sidecar. */
-    private static final double FAST_PER_SECOND = 500;
-    /** Fast enough for a sidecar of a large fleet: so many times its part of the agreed rate, for traffic is uneven. */
-    private static final double PEAK_TO_AGREED_RATE = 8;
-    /** Beyond what the first compiler needs to take up a method (200 calls). */
+    private static final int TRANSACTIONS_PER_ROUND = 50;
+    /** Transactions per second at which the code is warm enough for any sidecar. */
+    private static final double WARM_RATE_PER_SECOND = 500;
+    /**
+     * Multiple of a sidecar's share of the contracted rate at which the code is warm enough for it, even if that is
+     * below {@link #WARM_RATE_PER_SECOND}, as in a large fleet. Allows for uneven traffic.
+     */
+    private static final double PEAK_TO_CONTRACTED_RATE = 8;
+    /** Exceeds the 200 calls after which the JVM's first compiler (C1) compiles a method. */
     private static final int MAX_TRANSACTIONS = 600;
 
     private static final long MAX_DURATION_TICKS = 6_000 * MonotonicClock.TICKS_PER_MILLI;
     private static final long TICKS_PER_SECOND = 1_000 * MonotonicClock.TICKS_PER_MILLI;
     private static final int CONCURRENCY = 4;
     private static final int BODY_BYTES = 500;
-    /** The shortest there is: the inbound server sends nothing behind a response. */
+    /** The minimum, because the inbound server sends nothing after a response. */
     private static final int QUARANTINE_MILLIS = 1;
 
     private final MonotonicClock clock;
@@ -51,15 +55,15 @@
     private final AttemptSender attemptSender;
     private final EndpointRegistry endpoints;
     private final Buffer body = Buffer.buffer(new byte[BODY_BYTES]);
-    private final Promise<Integer> done = Promise.promise();
+    private final Promise<Integer> completion = Promise.promise();
     private final long startTicks;
-    private final long fastRoundTicks;
+    private final long maxWarmRoundTicks;
     private long roundStartTicks;
     private int sent;
     private int ended;
     private boolean warm;
 
-    /** A warm-up of the sidecar that listens as the configuration says; its counters are not the sidecar's. */
+    /** Creates a warm-up of the sidecar that listens as configured, with counters separate from the sidecar's. */
     public WarmUp(EventLoopContext loop, SidecarConfig config, AsyncLog log) {
         clock = loop.clock();
         this.config = config;
@@ -68,22 +72,23 @@
                 loop, counters, config.policySettings(), config.seed(), EndpointListLease.permanent());
         attemptSender = new AttemptSender(loop, counters, policyExecutor::attemptEnded, config, QUARANTINE_MILLIS);
         endpoints = new EndpointRegistry(config.zones(), config.kinds(), attemptSender::closeOutdated, counters);
-        fastRoundTicks = fastRoundTicks(config.contractedRatePerSecond());
+        maxWarmRoundTicks = maxWarmRoundTicks(config.contractedRatePerSecond());
         startTicks = clock.now();
         roundStartTicks = startTicks;
     }
 
     /**
-     * How long a round may take, in ticks, for the code to be warm.
+     * Returns the duration, in ticks, below which a round shows that the code is warm.
      *
-     * @param agreedRate this sidecar's part of the agreed transactions a second
+     * @param contractedRate this sidecar's share of the contracted transactions per second
      */
-    public static long fastRoundTicks(double agreedRate) {
-        return (long)
-                (TICKS_PER_SECOND * ROUND_TRANSACTIONS / Math.min(FAST_PER_SECOND, PEAK_TO_AGREED_RATE * agreedRate));
+    public static long maxWarmRoundTicks(double contractedRate) {
+        return (long) (TICKS_PER_SECOND
+                * TRANSACTIONS_PER_ROUND
+                / Math.min(WARM_RATE_PER_SECOND, PEAK_TO_CONTRACTED_RATE * contractedRate));
     }
 
-    /** Starts; done with the number of transactions once the code is warm or a limit is reached. */
+    /** Starts the warm-up; completes with the number of transactions once the code is warm or a limit is reached. */
     public Future<Integer> run() {
         JsonObject self = new JsonObject()
                 .put("name", "self")
@@ -93,7 +98,7 @@
         for (int i = 0; i < CONCURRENCY; i++) {
             sendNext();
         }
-        return done.future();
+        return completion.future();
     }
 
     private void sendNext() {
@@ -114,19 +119,19 @@
 
     private void transactionEnded() {
         ended++;
-        if (ended % ROUND_TRANSACTIONS == 0) {
+        if (ended % TRANSACTIONS_PER_ROUND == 0) {
             endRound(clock.now());
         }
         if (!warm) {
             sendNext();
         } else if (ended == sent) {
             attemptSender.close();
-            done.complete(ended);
+            completion.complete(ended);
         }
     }
 
     private void endRound(long now) {
-        if (now - roundStartTicks < fastRoundTicks
+        if (now - roundStartTicks < maxWarmRoundTicks
                 || ended >= MAX_TRANSACTIONS
                 || now - startTicks > MAX_DURATION_TICKS) {
             warm = true;
--- a/sidecar/src/test/java/trestlegrade/runtime/PolicyEventQueueTest.java
+++ b/sidecar/src/test/java/trestlegrade/runtime/PolicyEventQueueTest.java
@@ -15,15 +15,15 @@
 import trestlegrade.eventloop.MonotonicClock;
 
 /**
- * After a stall requests and an endpoint list wait together. A request that were decided on first would be sent to an
- * endpoint that the list says is draining.
+ * Guards against decisions with an outdated endpoint list. After an event loop stall, requests and an endpoint list are
+ * queued together, and a request that is handled first would be sent to an endpoint that the list marks as draining.
  */
 class PolicyEventQueueTest {
     private long now = 1_000;
     private final List<Handler<Void>> turns = new ArrayList<>();
     private final List<String> order = new ArrayList<>();
-    private final List<RuntimeException> faults = new ArrayList<>();
-    private final PolicyEventQueue queue = new PolicyEventQueue(loop(), faults::add);
+    private final List<RuntimeException> errors = new ArrayList<>();
+    private final PolicyEventQueue queue = new PolicyEventQueue(loop(), errors::add);
 
     private EventLoopContext loop() {
         MonotonicClock clock = new MonotonicClock() {
@@ -53,17 +53,17 @@
     }
 
     @Test
-    void endpointListsRunBeforeEventsThatCameEarlier() {
+    void endpointListEventsRunBeforeEarlierEvents() {
         queue.submit(() -> order.add("first"));
         queue.submit(() -> order.add("second"));
         queue.submitEndpointListEvent(() -> order.add("list"));
-        assertEquals(1, turns.size(), "one turn for all that waits");
+        assertEquals(1, turns.size(), "one turn for all queued events");
         runTurn();
         assertEquals(List.of("list", "first", "second"), order);
     }
 
     @Test
-    void aListThatComesDuringATurnRunsBeforeWhatStillWaits() {
+    void endpointListEventSubmittedDuringATurnRunsBeforeQueuedEvents() {
         queue.submit(() -> {
             order.add("first");
             queue.submitEndpointListEvent(() -> order.add("list"));
@@ -74,19 +74,19 @@
     }
 
     @Test
-    void oneFaultyEventDoesNotKeepTheOthersFromRunning() {
-        IllegalStateException fault = new IllegalStateException("seen by the handler");
+    void failingEventDoesNotKeepOthersFromRunning() {
+        IllegalStateException error = new IllegalStateException("passed to the error handler");
         queue.submit(() -> {
-            throw fault;
+            throw error;
         });
         queue.submit(() -> order.add("second"));
         runTurn();
-        assertEquals(List.of(fault), faults);
+        assertEquals(List.of(error), errors);
         assertEquals(List.of("second"), order);
     }
 
     @Test
-    void allEventsOfATurnSeeOneTimeThatNeverGoesBack() {
+    void allEventsOfATurnSeeTheSameTimeThatNeverDecreases() {
         List<Long> times = new ArrayList<>();
         queue.submit(() -> {
             times.add(queue.now());
