--- a/sidecar/src/main/java/trestlegrade/inbound/BodyMemoryBudget.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BodyMemoryBudget.java
@@ -1,63 +1,66 @@
 package trestlegrade.inbound;
 
 /**
- * Bounds the memory that the bodies of one kind, of requests or of responses, take together. Without it load could fill
- * the heap, at which the process ends. Not thread-safe: called on the event loop.
+ * Limits the total memory of all bodies of one kind, either of requests or of responses. Without a limit, load could
+ * exhaust the heap, which ends the process. Not thread-safe: all methods are called on the event loop.
  */
 public final class BodyMemoryBudget {
     private static final int MIN_BUFFER_BYTES = 64;
 
     private final long limitBytes;
-    private long heldBytes;
+    private long claimedBytes;
 
-    /** A budget of so many bytes. */
+    /** Creates a budget of {@code limitBytes} bytes. */
     public BodyMemoryBudget(long limitBytes) {
         this.limitBytes = limitBytes;
     }
 
-    /** A budget of this fraction of the heap's maximum. */
+    /** Creates a budget of a fraction of the maximum heap size. */
     public static BodyMemoryBudget ofHeap(double fraction) {
         return new BodyMemoryBudget((long) (fraction * Runtime.getRuntime().maxMemory()));
     }
 
-    /** The bytes of all claims together. */
+    /** Returns the total number of bytes of all claims. */
     public long claimedBytes() {
-        return heldBytes;
+        return claimedBytes;
     }
 
-    /** A claim of one body, which holds nothing at first. */
+    /** Creates the claim of one body, which holds no memory at first. */
     public Claim claim() {
         return new Claim();
     }
 
-    /** The memory of one body, until it is released. */
+    /** The memory that one body holds until it is released. */
     public final class Claim {
         private long bytes;
 
         private Claim() {}
 
-        /** Grows the claim for a body of {@code length} bytes; false, and unchanged, if the budget has no room. */
+        /**
+         * Grows the claim to hold a body of {@code length} bytes. Returns false, and leaves the claim unchanged, if
+         * that would exceed the budget.
+         */
         public boolean grow(int length) {
-            long wanted = bufferCapacity(length);
-            if (wanted <= bytes) {
+            long requiredBytes = bufferCapacity(length);
+            if (requiredBytes <= bytes) {
                 return true;
             }
-            if (heldBytes - bytes + wanted > limitBytes) {
+            if (claimedBytes - bytes + requiredBytes > limitBytes) {
                 return false;
             }
-            heldBytes += wanted - bytes;
-            bytes = wanted;
+            claimedBytes += requiredBytes - bytes;
+            bytes = requiredBytes;
             return true;
         }
 
-        /** Gives all of it back. Further calls do nothing. */
+        /** Releases all memory of the claim. Further calls do nothing. */
         public void release() {
-            heldBytes -= bytes;
+            claimedBytes -= bytes;
             bytes = 0;
         }
     }
 
-    /** A buffer that grows doubles its capacity. */
+    /** Returns the capacity of a buffer with {@code length} bytes. A growing buffer doubles its capacity. */
     private static long bufferCapacity(int length) {
         return length <= MIN_BUFFER_BYTES ? MIN_BUFFER_BYTES : 2L * Integer.highestOneBit(length - 1);
     }
--- a/sidecar/src/main/java/trestlegrade/inbound/BoundedTransport.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BoundedTransport.java
@@ -14,9 +14,9 @@
 import trestlegrade.metrics.Counters;
 
 /**
- * Vert.x's NIO transport, but its loops sleep between timers ({@link TimerRoundingIoHandler}), its listener accepts
- * within a budget of descriptors ({@link BoundedListener}), and interrupted reads do not end a connection
- * ({@link InterruptibleSocketChannel}).
+ * Vert.x's NIO transport with three differences: its event loops sleep until the next timer
+ * ({@link TimerRoundingIoHandler}), its listener accepts within a budget of descriptors ({@link BoundedListener}), and
+ * interrupted reads do not close a connection ({@link InterruptibleSocketChannel}).
  */
 public final class BoundedTransport implements io.vertx.core.spi.transport.Transport {
     private final io.vertx.core.spi.transport.Transport nio = Transport.NIO.implementation();
@@ -25,14 +25,18 @@
     private final Consumer<IOException> onAcceptFailed;
     private volatile BoundedListener listener;
 
-    /** {@code onAcceptFailed} is called for each accept that the system refuses, on the loop of the listener. */
+    /**
+     * Creates a transport whose listener uses the given descriptors.
+     *
+     * @param onAcceptFailed called on the listener's event loop for each accept that the operating system refuses
+     */
     public BoundedTransport(DescriptorBudget descriptors, Counters.Turns turns, Consumer<IOException> onAcceptFailed) {
         this.descriptors = descriptors;
         this.turns = turns;
         this.onAcceptFailed = onAcceptFailed;
     }
 
-    /** This transport in the form that Vert.x's builder takes. */
+    /** Returns this transport in the form that the builder of Vert.x takes. */
     public Transport transport() {
         return new Transport() {
             @Override
@@ -59,7 +63,7 @@
 
     /**
      * Closes the listener once no client waits in its backlog, or at {@code deadline}, a time of the clock in ticks.
-     * {@code onClosed} is called on the listener's loop, or at once if there is no listener.
+     * {@code onClosed} is called on the listener's event loop, or immediately if there is no listener.
      */
     public void closeListener(MonotonicClock clock, long deadline, Runnable onClosed) {
         BoundedListener open = listener;
--- a/sidecar/src/main/java/trestlegrade/inbound/HeaderRules.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/HeaderRules.java
@@ -16,10 +16,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads the fields and the target of a request, and says which fields are forwarded. Times are ticks of 0.1 ms. */
+/** Parses the fields and the target of a request and selects the fields to forward. Times are ticks of 0.1 ms. */
 public final class HeaderRules {
     private static final String CONTENT_LENGTH = "Content-Length";
-    /** Hop-by-hop fields (RFC 9110, 7.6.1), framing of bodies, and the timeout, which each attempt states anew. */
+    /** Hop-by-hop fields (RFC 9110, 7.6.1), body framing, and the timeout, which is set anew for each attempt. */
     private static final Set<String> NOT_FORWARDED = Set.of(
             "connection",
             "keep-alive",
@@ -31,7 +31,7 @@
             CONTENT_LENGTH.toLowerCase(Locale.ROOT),
             "expect",
             ProtocolFields.TIMEOUT.toLowerCase(Locale.ROOT));
-    /** Headers are validated when they are read. */
+    /** Creates headers without validation, because fields are already validated when a request is read. */
     private static final HttpHeadersFactory UNVALIDATED =
             DefaultHttpHeadersFactory.headersFactory().withValidation(false);
 
@@ -39,14 +39,15 @@
     private static final int TICKS_PER_MILLISECOND = 10;
     private static final int MICROSECONDS_PER_TICK = 100;
     private static final double TICKS_PER_MICROSECOND = 0.01;
-    /** A month in microseconds: larger numbers are malformed. */
+    /** One month in microseconds; larger numbers are malformed. */
     private static final double MAX_NUMBER = 2.6e12;
 
     private HeaderRules() {}
 
     /**
-     * The fields that are forwarded: all but those of one connection alone, and such as are not valid in a head.
+     * Returns the fields to forward: all except connection-specific fields and fields that are not valid in a message.
      *
+     * @param received the fields of the received message
      * @param connection the value of the message's Connection field; null if it has none
      */
     public static MultiMap forwardedHeaders(Iterable<Map.Entry<String, String>> received, String connection) {
@@ -54,7 +55,7 @@
         received.forEach(field -> {
             String name = field.getKey();
             if (!NOT_FORWARDED.contains(name.toLowerCase(Locale.ROOT))
-                    && !isListed(connection, name)
+                    && !isConnectionOption(connection, name)
                     && HttpHeaderValidationUtil.validateToken(name) < 0
                     && HttpHeaderValidationUtil.validateValidHeaderValue(field.getValue()) < 0) {
                 forwarded.add(name, field.getValue());
@@ -63,8 +64,10 @@
         return forwarded;
     }
 
-    /** The message of one attempt: the request as it came, but with the time that is left, at least one tick. */
-    public static FullHttpRequest attemptMessage(InboundRequest request, long leftTicks) {
+    /**
+     * Returns the message of one attempt: the received request with the remaining time as timeout, at least one tick.
+     */
+    public static FullHttpRequest attemptMessage(InboundRequest request, long remainingTicks) {
         DefaultFullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.valueOf(request.head.method()),
@@ -73,14 +76,14 @@
                 UNVALIDATED.newEmptyHeaders(),
                 NO_TRAILERS);
         request.head.headers().forEach((name, value) -> message.headers().add(name, value));
-        message.headers().set(ProtocolFields.TIMEOUT, Math.max(1, leftTicks) * MICROSECONDS_PER_TICK + "u");
+        message.headers().set(ProtocolFields.TIMEOUT, Math.max(1, remainingTicks) * MICROSECONDS_PER_TICK + "u");
         if (request.body.length() > 0 || !request.head.method().equals("GET")) {
             message.headers().set(CONTENT_LENGTH, request.body.length());
         }
         return message;
     }
 
-    private static boolean isListed(String connection, String name) {
+    private static boolean isConnectionOption(String connection, String name) {
         if (connection == null || (!connection.contains(",") && connection.length() != name.length())) {
             return false;
         }
@@ -92,7 +95,7 @@
         return false;
     }
 
-    /** The first segment of a path; empty if the target is. */
+    /** Returns the first segment of the path; empty if the target is empty. */
     static String firstPathSegment(String target) {
         int end = 1;
         while (end < target.length() && "/?#".indexOf(target.charAt(end)) < 0) {
@@ -102,8 +105,8 @@
     }
 
     /**
-     * The affinity key: a hash above 0 of the key's parameter in the query, 0 without one. The value is not decoded, so
-     * that each sidecar finds the same.
+     * Returns the affinity key: a positive hash of the key parameter of the query, or 0 without that parameter. The
+     * value is not decoded, so that all sidecars compute the same key.
      */
     static long affinityKey(String target) {
         String parameter = ProtocolFields.AFFINITY_KEY_PARAMETER + "=";
@@ -120,8 +123,9 @@
     }
 
     /**
-     * The UTF-8 text of a target or field. Bytes beyond ASCII are read as Latin-1 and written as UTF-8: read like this
-     * they are forwarded as they came, and names equal those of the settings. Null if there is no text or no UTF-8.
+     * Decodes a target or field as UTF-8. The library reads non-ASCII bytes as Latin-1 and writes them as UTF-8.
+     * Decoded text is therefore forwarded unchanged, and names are equal to those in the settings. Returns null if the
+     * text is null or not valid UTF-8.
      */
     static String decodeUtf8(String received) {
         if (received == null) {
@@ -133,32 +137,35 @@
     }
 
     /**
-     * The length that a Content-Length states, in bytes; 0 if the text is null.
+     * Parses a Content-Length in bytes; returns 0 if the text is null.
      *
-     * @throws NumberFormatException if it is no number
+     * @throws NumberFormatException if the text is not a number
      */
     public static long contentLength(String text) {
         return text == null ? 0 : Long.parseLong(text.strip());
     }
 
-    /** How long the client waits, in ticks: a number and m (ms) or u (µs); -1 if malformed, unbounded if null. */
+    /**
+     * Parses a timeout, a number followed by m (ms) or u (µs), and returns it in ticks. Returns -1 if the text is
+     * malformed and {@link Long#MAX_VALUE} if it is null.
+     */
     public static long timeoutTicks(String text) {
         if (text == null) {
             return Long.MAX_VALUE;
         }
         double ticksPerUnit =
                 text.endsWith("m") ? TICKS_PER_MILLISECOND : text.endsWith("u") ? TICKS_PER_MICROSECOND : 0;
-        double number = ticksPerUnit == 0 ? -1 : number(text.substring(0, text.length() - 1));
+        double number = ticksPerUnit == 0 ? -1 : parseNonNegative(text.substring(0, text.length() - 1));
         return number < 0 ? -1 : (long) (number * ticksPerUnit);
     }
 
-    /** The work that a hint in microseconds states, in ticks; 0 if it is null or malformed. */
+    /** Parses a cost hint in microseconds and returns it in ticks; 0 if the text is null or malformed. */
     static long costHintTicks(String text) {
-        return (long) Math.max(0, number(text) / MICROSECONDS_PER_TICK);
+        return (long) Math.max(0, parseNonNegative(text) / MICROSECONDS_PER_TICK);
     }
 
-    /** A number that is not negative; 0 if the text is null, -1 if it is malformed. */
-    private static double number(String text) {
+    /** Parses a non-negative number; returns 0 if the text is null and -1 if it is malformed. */
+    private static double parseNonNegative(String text) {
         try {
             double number = text == null ? 0 : Double.parseDouble(text);
             return number >= 0 && number < MAX_NUMBER ? number : -1;
--- a/sidecar/src/main/java/trestlegrade/inbound/ListenerBinder.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ListenerBinder.java
@@ -12,11 +12,11 @@
 import trestlegrade.metrics.AsyncLog;
 
 /**
- * Binds the listener. Where the system has no socket for it (EMFILE, ENFILE, ENOBUFS, ENOMEM), which passes, it retries
- * for a while; that the address is in use is reported at once.
+ * Binds the listener. If the system has no socket for it (EMFILE, ENFILE, ENOBUFS, ENOMEM), which is temporary, the
+ * bind is retried for a while. An address that is in use is reported immediately.
  */
 final class ListenerBinder {
-    /** Well under the time that a start may take. */
+    /** Well below the time that a start may take. */
     private static final long RETRY_WINDOW_TICKS = 100_000;
 
     private static final long RETRY_INTERVAL_MILLIS = 50;
@@ -27,7 +27,7 @@
     private final Supplier<SocketAddress> address;
     private final Supplier<HttpServer> newServer;
 
-    /** {@code newServer} gives a fresh server for each try: one that failed to bind is of no more use. */
+    /** {@code newServer} returns a new server for each try, because one that failed to bind cannot be reused. */
     ListenerBinder(
             Vertx vertx,
             MonotonicClock clock,
@@ -41,7 +41,7 @@
         this.newServer = newServer;
     }
 
-    /** The server once it listens; fails with the cause of the last try. */
+    /** Returns the server once it listens. Fails with the cause of the last try. */
     Future<HttpServer> bind() {
         return bind(clock.now() + RETRY_WINDOW_TICKS);
     }
--- a/sidecar/src/main/java/trestlegrade/inbound/OpenTraceIds.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/OpenTraceIds.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 
 /**
- * The trace ids of transactions whose final response is owed. Two open transactions never share an id, for an endpoint
- * could not tell them apart.
+ * The trace ids of transactions whose final response is pending. Two open transactions never share an id, because an
+ * endpoint could not distinguish them.
  */
 final class OpenTraceIds {
     private final Set<String> ids = new HashSet<>();
 
-    /** Whether a transaction is open under this id; false for null. */
+    /** Returns whether a transaction with this id is open; false for null. */
     boolean contains(String id) {
         return ids.contains(id);
     }
--- a/sidecar/src/main/java/trestlegrade/inbound/RequestHead.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/RequestHead.java
@@ -3,10 +3,10 @@
 import io.vertx.core.MultiMap;
 
 /**
- * The part of a request that is forwarded as it came, beside its body.
+ * The part of a request that, in addition to its body, is forwarded unchanged.
  *
  * @param method the HTTP method
- * @param uri the target, read as UTF-8
- * @param headers the fields that are forwarded
+ * @param uri the target, decoded as UTF-8
+ * @param headers the fields to forward
  */
 public record RequestHead(String method, String uri, MultiMap headers) {}
--- a/sidecar/src/main/java/trestlegrade/inbound/TransactionResponder.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/TransactionResponder.java
@@ -6,7 +6,7 @@
 import io.vertx.core.http.HttpServerResponse;
 import java.util.Locale;
 
-/** Maps the outcome of one transaction to the HTTP response on its client's connection, and closes its trace id. */
+/** Sends the outcome of one transaction as an HTTP response on its client's connection and releases its trace id. */
 final class TransactionResponder implements InboundRequest.Client {
     private static final int COMMITTED = 200;
     private static final int ABANDONED = 502;
--- a/sidecar/src/test/java/trestlegrade/inbound/HeaderRulesTest.java
+++ b/sidecar/src/test/java/trestlegrade/inbound/HeaderRulesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The HTTP fields of the protocol at the edge where they become this program's terms. */
+/** Tests the parsing and forwarding of the protocol's HTTP fields. */
 class HeaderRulesTest {
 
     @ParameterizedTest
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void withoutATimeoutTheClientWaitsForever() {
+    void missingTimeoutIsUnlimited() {
         assertEquals(Long.MAX_VALUE, HeaderRules.timeoutTicks(null));
     }
 
@@ -53,12 +53,12 @@
         assertNotEquals(0, key);
         assertEquals(key, HeaderRules.affinityKey("/other?a=1&k=7&k=8"));
         assertNotEquals(key, HeaderRules.affinityKey("/quote?k=8"));
-        // Not decoded: each sidecar finds the same key for the same bytes.
+        // The value is not decoded, so all sidecars compute the same key for the same bytes.
         assertNotEquals(key, HeaderRules.affinityKey("/quote?k=%37"));
     }
 
     @Test
-    void textBeyondAsciiIsUtf8ReadAsLatin1() {
+    void nonAsciiTextIsDecodedAsUtf8() {
         String received = new String("Zürich".getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
         assertEquals("Zürich", HeaderRules.decodeUtf8(received));
         assertNull(HeaderRules.decodeUtf8("\u00ff"));
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void fieldsOfOneConnectionAreNotForwarded() {
+    void connectionSpecificFieldsAreNotForwarded() {
         MultiMap received = HttpHeaders.headers()
                 .add("Host", "h")
                 .add("X-Trace-Id", "t")
@@ -82,9 +82,9 @@
         assertEquals("2", forwarded.get("X-Locality"));
     }
 
-    /** Dashboards count by these codes: two reasons of one code could not be told apart. */
+    /** Dashboards count by these codes, so two reasons with the same code could not be distinguished. */
     @Test
-    void eachReasonOfAConnectionsEndHasItsOwnCode() {
+    void connectionEndReasonsHaveDistinctCodes() {
         long codes = Arrays.stream(ConnectionEndReason.values())
                 .map(ConnectionEndReason::code)
                 .distinct()
