--- a/sidecar/src/main/java/trestlegrade/inbound/BoundedListener.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BoundedListener.java
@@ -10,48 +10,50 @@
 import trestlegrade.eventloop.MonotonicClock;
 
 /**
- * A listener that accepts no connection while there is no descriptor for one: the client waits in the kernel's backlog
- * instead. To accept and close the connection would lose what the client has sent. Called on the listener's event loop.
+ * A listener that accepts connections only while a descriptor is available. Otherwise clients wait in the kernel's
+ * backlog, because accepting and closing a connection would lose what the client has sent. Called on the listener's
+ * event loop.
  */
 final class BoundedListener extends NioServerSocketChannel {
-    /** Behind a failed accept: neither a loop that spins nor a late answer. */
-    private static final long ACCEPT_RETRY_MILLIS = 10;
+    /** The delay after a failed accept: long enough not to spin, and short enough not to delay responses. */
+    private static final long ACCEPT_RETRY_DELAY_MILLIS = 10;
 
-    private static final int MAX_ACCEPTS_IN_A_ROW = 64;
-    private static final long NOBODY_WAITS = 0;
-    /** The loop looks at its sockets between two timers of this length that follow each other. */
-    private static final long SHORTEST_TIMER_MILLIS = 1;
+    private static final int MAX_ACCEPTS_PER_READ = 64;
+    private static final long NO_CLIENT_WAITING = 0;
+    /** The event loop polls its sockets between two consecutive timers of this length. */
+    private static final long MIN_TIMER_MILLIS = 1;
 
     private final DescriptorBudget descriptors;
     private final Consumer<IOException> onAcceptFailed;
     private int acceptCount;
-    /** How often the loop has found a client in the backlog. */
+    /** How often the event loop has found a client in the backlog. */
     private long readinessCount;
-    /** Whether the latest accept failed: a client may wait in the backlog. */
-    private boolean failing;
-    /** By {@link System#nanoTime()}, since when a client may wait that could not be accepted. */
-    private long waitingSince = NOBODY_WAITS;
+    /** Whether the latest accept failed, so that a client may still wait in the backlog. */
+    private boolean lastAcceptFailed;
+    /** The {@link System#nanoTime()} since when a client may have been waiting that could not be accepted. */
+    private long waitingSinceNanos = NO_CLIENT_WAITING;
 
-    /** {@code onAcceptFailed} is called for each accept that the system refuses. */
-    @SuppressWarnings("deprecation") // The replacement takes the place of the allocator of receive buffers.
+    /** {@code onAcceptFailed} is called for each accept that the operating system refuses. */
+    @SuppressWarnings("deprecation") // The replacement of the setter would replace the receive buffer allocator.
     BoundedListener(DescriptorBudget descriptors, Consumer<IOException> onAcceptFailed) {
         this.descriptors = descriptors;
         this.onAcceptFailed = onAcceptFailed;
-        // doReadMessages counts and bounds by itself what it accepts.
+        // doReadMessages itself limits how many connections it accepts.
         config().setMaxMessagesPerRead(1);
         descriptors.onAvailable(() -> config().setAutoRead(true));
     }
 
     /**
-     * Closes the listener once no client waits in its backlog, or at {@code deadline} (ticks): with the listener the
-     * kernel resets connections that were not accepted, and what their clients have sent is lost.
+     * Closes the listener once no client waits in its backlog, or at {@code deadline} (ticks). When a listener closes,
+     * the kernel resets the connections that were not accepted, and what their clients have sent is lost.
      */
     void closeOnceDrained(MonotonicClock clock, long deadline, Runnable onClosed) {
-        int before = acceptCount;
-        // A descriptor that is released while this looks belongs to clients that wait already: not drained yet.
+        int acceptCountBefore = acceptCount;
+        // A descriptor released during the check goes to a client that already waits, so the backlog is not drained.
         boolean exhausted = descriptors.isExhausted();
-        afterNextLook(() -> {
-            boolean drained = before == acceptCount && !exhausted && !failing && !descriptors.isExhausted();
+        afterNextPoll(() -> {
+            boolean drained =
+                    acceptCountBefore == acceptCount && !exhausted && !lastAcceptFailed && !descriptors.isExhausted();
             if (drained || clock.now() >= deadline) {
                 close().addListener(closed -> onClosed.run());
             } else {
@@ -61,64 +63,70 @@
     }
 
     /**
-     * Runs the action once the loop has looked at its sockets: whoever waits has been accepted if that was possible.
+     * Runs the action after the event loop has polled its sockets. By then, waiting clients have been accepted if that
+     * was possible.
      */
-    private void afterNextLook(Runnable action) {
-        Runnable second = () -> eventLoop().schedule(action, SHORTEST_TIMER_MILLIS, TimeUnit.MILLISECONDS);
-        eventLoop().schedule(second, SHORTEST_TIMER_MILLIS, TimeUnit.MILLISECONDS);
+    private void afterNextPoll(Runnable action) {
+        Runnable secondTimer = () -> eventLoop().schedule(action, MIN_TIMER_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop().schedule(secondTimer, MIN_TIMER_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Called while a client waits: one that is not accepted here still does. */
+    /** Called while a client waits in the backlog. A client that is not accepted here continues to wait. */
     @Override
     protected int doReadMessages(List<Object> accepted) {
         readinessCount++;
         int count = 0;
-        SocketChannel client = hasDescriptor() ? accept() : null;
+        SocketChannel client = checkDescriptorAvailable() ? accept() : null;
         while (client != null) {
-            accepted.add(connection(client));
+            accepted.add(newConnection(client));
             count++;
-            boolean more = waitingSince != NOBODY_WAITS && count < MAX_ACCEPTS_IN_A_ROW && !descriptors.isExhausted();
+            boolean more = waitingSinceNanos != NO_CLIENT_WAITING
+                    && count < MAX_ACCEPTS_PER_READ
+                    && !descriptors.isExhausted();
             client = more ? accept() : null;
         }
-        if (count > 0 && waitingSince != NOBODY_WAITS) {
-            forgetWaitUnlessClientWaits();
+        if (count > 0 && waitingSinceNanos != NO_CLIENT_WAITING) {
+            clearWaitIfBacklogEmpty();
         }
         return count;
     }
 
-    /** The last client that waited may just have been accepted. If another one waits, the next look finds it. */
-    private void forgetWaitUnlessClientWaits() {
-        long before = readinessCount;
-        afterNextLook(() -> {
-            if (before == readinessCount && !failing) {
-                waitingSince = NOBODY_WAITS;
+    /**
+     * Clears the start of the wait unless the next poll finds another client in the backlog. The last waiting client
+     * may just have been accepted.
+     */
+    private void clearWaitIfBacklogEmpty() {
+        long readinessCountBefore = readinessCount;
+        afterNextPoll(() -> {
+            if (readinessCountBefore == readinessCount && !lastAcceptFailed) {
+                waitingSinceNanos = NO_CLIENT_WAITING;
             }
         });
     }
 
-    /** Whether there is a descriptor for a client; if not, none is accepted until there is. */
-    private boolean hasDescriptor() {
+    /** Returns whether a descriptor is available for a client. If not, stops accepting until one is available. */
+    private boolean checkDescriptorAvailable() {
         if (!descriptors.isExhausted()) {
             return true;
         }
         config().setAutoRead(false);
-        // One released before the line above would not have started the reading again.
+        // A descriptor released before auto-read was disabled would not have enabled it again.
         if (!descriptors.isExhausted()) {
             config().setAutoRead(true);
             return true;
         }
-        clientWaits();
-        descriptors.clientWaits();
+        markClientWaiting();
+        descriptors.reportClientWaiting();
         return false;
     }
 
-    /** A client that waits; null if none does, or the system refuses the accept. */
+    /** Accepts a waiting client. Returns null if no client waits or the accept fails. */
     private SocketChannel accept() {
         try {
             SocketChannel client = javaChannel().accept();
-            failing = false;
+            lastAcceptFailed = false;
             if (client == null) {
-                waitingSince = NOBODY_WAITS;
+                waitingSinceNanos = NO_CLIENT_WAITING;
             }
             return client;
         } catch (IOException e) {
@@ -127,30 +135,30 @@
         }
     }
 
-    private Channel connection(SocketChannel client) {
+    private Channel newConnection(SocketChannel client) {
         descriptors.acquire();
         acceptCount++;
-        long backlogNanoseconds = waitingSince == NOBODY_WAITS ? 0 : System.nanoTime() - waitingSince;
-        Channel connection = new InterruptibleSocketChannel(this, client, backlogNanoseconds);
+        long backlogNanos = waitingSinceNanos == NO_CLIENT_WAITING ? 0 : System.nanoTime() - waitingSinceNanos;
+        Channel connection = new InterruptibleSocketChannel(this, client, backlogNanos);
         connection.closeFuture().addListener(closed -> descriptors.release());
         return connection;
     }
 
-    private void clientWaits() {
-        if (waitingSince == NOBODY_WAITS) {
-            waitingSince = System.nanoTime();
+    private void markClientWaiting() {
+        if (waitingSinceNanos == NO_CLIENT_WAITING) {
+            waitingSinceNanos = System.nanoTime();
         }
     }
 
     /**
-     * Out of descriptors or buffers, in this process or in the whole system (EMFILE, ENFILE, ENOBUFS, ENOMEM). Netty
-     * would not accept for a second, which is longer than many clients wait.
+     * Accepts again after a short delay. The process or the whole system has run out of descriptors or buffers (EMFILE,
+     * ENFILE, ENOBUFS, ENOMEM). Netty itself would stop accepting for a second, which is longer than many clients wait.
      */
     private void retryLater(IOException cause) {
-        failing = true;
-        clientWaits();
+        lastAcceptFailed = true;
+        markClientWaiting();
         onAcceptFailed.accept(cause);
         config().setAutoRead(false);
-        eventLoop().schedule(() -> config().setAutoRead(true), ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop().schedule(() -> config().setAutoRead(true), ACCEPT_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/inbound/ClientConnection.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ClientConnection.java
@@ -7,8 +7,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The state of one connection of a client. One request at a time is read or is open on it; what the client pipelines
- * waits in {@link PipeliningGate}. All methods are called on the event loop; times are ticks of
+ * The state of one client connection. At most one request at a time is being read or is open on it; pipelined requests
+ * wait in {@link PipeliningHandler}. All methods are called on the event loop; times are ticks of
  * {@link trestlegrade.eventloop.MonotonicClock}.
  */
 final class ClientConnection {
@@ -18,18 +18,18 @@
     private final long acceptedAt;
     private long lastUsedAt;
     private int transactionCount;
-    /** The response that is owed to the request being read; null while none is. */
+    /** The response to the request that is being read; null if no request is being read. */
     private HttpServerResponse pendingResponse;
-    /** The transaction under way, or the latest if none was answered since; null otherwise. */
+    /** The latest transaction if it has no response on this connection yet; null otherwise. */
     private InboundRequest transaction;
-    /** Of the body that is being read, or that was read and belongs to no transaction; null if there is none. */
+    /** The memory of a body that is being read, or that was read and belongs to no transaction; null otherwise. */
     private BodyMemoryBudget.Claim bodyMemory;
-    /** The latest response; complete once the kernel has all of it, or it can no longer be written. */
+    /** The write of the latest response; completes when the kernel has all of it, or it can no longer be written. */
     private Future<Void> lastWrite = Future.succeededFuture();
 
     private boolean lastResponseSent;
     private boolean closing;
-    /** Why this side ends it; null until that is decided. */
+    /** Why this side ends the connection; null until that is decided. */
     private ConnectionEndReason endReason;
 
     ClientConnection(
@@ -53,27 +53,30 @@
         return acceptedAt;
     }
 
-    /** When the latest request's head was read or the latest response was given; at first when it was accepted. */
+    /**
+     * When the head of the latest request was read or the latest response was sent, whichever is later. Before the
+     * first request, when the connection was accepted.
+     */
     long lastUsedAt() {
         return lastUsedAt;
     }
 
-    /** When it was last used, or bytes last came. */
+    /** When the connection was last used or last received bytes, whichever is later. */
     long lastActiveAt() {
         return Math.max(lastUsedAt, decoder.lastReadAt());
     }
 
-    /** How many transactions it has carried. */
+    /** How many transactions the connection has served, including one that is open. */
     int transactionCount() {
         return transactionCount;
     }
 
-    /** The latest transaction while it has no response on this connection; null if there is none. */
+    /** The latest transaction if it has no response on this connection yet; null otherwise. */
     InboundRequest transaction() {
         return transaction;
     }
 
-    /** The response that is owed to the request being read; null while none is. */
+    /** The response to the request that is being read; null if no request is being read. */
     HttpServerResponse pendingResponse() {
         return pendingResponse;
     }
@@ -90,60 +93,60 @@
         return isReading() || hasOpenTransaction();
     }
 
-    /** Whether nothing at all has come on it. */
+    /** Whether the connection has served no transaction and no request is open, being read or partially received. */
     boolean isUnused() {
         return transactionCount == 0 && !isBusy() && !decoder.isPartial();
     }
 
-    /** Whether its last response has been given: no request that still comes is answered. */
+    /** Whether the last response has been sent. Requests that arrive later get no response. */
     boolean isLastResponseSent() {
         return lastResponseSent;
     }
 
-    /** Whether this side has closed it, and waits for the end. */
+    /** Whether this side has closed the connection and waits for its end. */
     boolean isClosing() {
         return closing;
     }
 
-    /** The latest response; complete once the kernel has all of it, or it can no longer be written. */
+    /** The write of the latest response; completes when the kernel has all of it, or it can no longer be written. */
     Future<Void> lastWrite() {
         return lastWrite;
     }
 
-    /** Why this side ends it; null until that is decided. */
+    /** Why this side ends the connection; null until that is decided. */
     ConnectionEndReason endReason() {
         return endReason;
     }
 
-    /** Has it end with its next response, whatever was decided before. */
-    void endWith(ConnectionEndReason reason) {
+    /** Makes the connection end with its next response for this reason, replacing an earlier reason. */
+    void setEndReason(ConnectionEndReason reason) {
         endReason = reason;
     }
 
-    /** Has it end with its next response, unless that is decided already. */
-    void endWithIfUndecided(ConnectionEndReason reason) {
+    /** Makes the connection end with its next response for this reason, unless it already has a reason. */
+    void setEndReasonIfAbsent(ConnectionEndReason reason) {
         if (endReason == null) {
             endReason = reason;
         }
     }
 
-    /** A request's head has been read. */
-    void requestBegun(HttpServerResponse response, BodyMemoryBudget.Claim memory, long now) {
+    /** Called when the head of a request has been read. */
+    void requestStarted(HttpServerResponse response, BodyMemoryBudget.Claim memory, long now) {
         pendingResponse = response;
         bodyMemory = memory;
         lastUsedAt = now;
     }
 
-    /** The request that was read is a transaction, which from now on owns the memory of its body. */
+    /** Called when the request that was read becomes a transaction, which then owns the memory of its body. */
     void transactionAccepted(InboundRequest accepted) {
         pendingResponse = null;
         transaction = accepted;
-        accepted.ownBodyMemory(bodyMemory);
+        accepted.setBodyMemory(bodyMemory);
         bodyMemory = null;
         transactionCount++;
     }
 
-    /** Sends a response, and closes the connection behind it if it is the last: Vert.x would leave it open. */
+    /** Sends a response. Closes the connection after the last one, because Vert.x would leave it open. */
     void respond(HttpServerResponse response, int status, Buffer body, long now) {
         send(response, status, body, now);
         if (lastResponseSent) {
@@ -152,17 +155,17 @@
         }
     }
 
-    /** Sends a response; the caller closes the connection if it is the last. */
+    /** Sends a response. If it is the last one, the caller closes the connection. */
     void send(HttpServerResponse response, int status, Buffer body, long now) {
         boolean hasPipelined = decoder.hasPipelined();
         if (endReason == null && !hasPipelined && aboveKeepAliveLimit.getAsBoolean()) {
             endReason = ConnectionEndReason.ABOVE_KEEP_ALIVE_LIMIT;
         }
-        lastResponseSent = endReason != null && !(hasPipelined && answersPipelined(endReason));
+        lastResponseSent = endReason != null && !(hasPipelined && servesPipelined(endReason));
         if (lastResponseSent) {
             response.putHeader("Connection", "close");
         }
-        // An idle connection keeps nothing of its last transaction in memory.
+        // An idle connection must not keep its last transaction in memory.
         pendingResponse = null;
         transaction = null;
         releaseBodyMemory();
@@ -170,12 +173,12 @@
         lastWrite = response.setStatusCode(status).end(body);
     }
 
-    /** Whether requests that came whole before the end was decided still get their responses. */
-    private static boolean answersPipelined(ConnectionEndReason reason) {
+    /** Whether requests that were complete before the end was decided still get their responses. */
+    private static boolean servesPipelined(ConnectionEndReason reason) {
         return reason == ConnectionEndReason.SHUTTING_DOWN || reason == ConnectionEndReason.NO_CAPACITY;
     }
 
-    /** Frees the memory of a body that belongs to no transaction. */
+    /** Releases the memory of a body that belongs to no transaction. */
     void releaseBodyMemory() {
         if (bodyMemory != null) {
             bodyMemory.release();
@@ -183,9 +186,9 @@
         }
     }
 
-    /** Closes it from this side. */
+    /** Closes the connection from this side. */
     void close(ConnectionEndReason reason) {
-        endWithIfUndecided(reason);
+        setEndReasonIfAbsent(reason);
         closing = true;
         http.close();
     }
--- a/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
@@ -14,19 +14,21 @@
 import trestlegrade.metrics.Counters;
 
 /**
- * The open connections of clients, and how many there may be. {@link IdleConnectionSweeper} ends idle ones and
- * {@link ConnectionEvictor} makes descriptors free for others. All methods are called on the event loop.
+ * The open client connections and the limits on their number. {@link IdleConnectionSweeper} ends idle connections, and
+ * {@link ConnectionEvictor} closes connections to free descriptors for others. All methods are called on the event
+ * loop.
  */
 final class ClientConnections {
-    /** One descriptor in so many is reserved to answer connections that cannot be kept. */
-    private static final int RESERVED_PART = 8;
+    /** One in this many descriptors is reserved for responding on connections that cannot be kept open. */
+    private static final int RESERVED_DIVISOR = 8;
     /**
-     * No connection is kept alive while more than one descriptor in so many is in use. Applications hold about a third
-     * of the descriptors: where they open a connection for each request, kept ones would leave them none.
+     * No connection is kept alive while more than one in this many descriptors is in use. Applications hold about a
+     * third of the descriptors. If they open a connection for each request, kept-alive connections would leave them
+     * none.
      */
-    private static final int KEEP_ALIVE_PART = 2;
-    /** How long a client that was accepted during shutdown has for its request, on a loop that is on time. */
-    private static final long SHUTDOWN_GRACE_TICKS = ConnectionEvictor.UNREAD_TICKS;
+    private static final int KEEP_ALIVE_DIVISOR = 2;
+    /** How long a client accepted during shutdown has to send its request, if the event loop is on time. */
+    private static final long SHUTDOWN_GRACE_TICKS = ConnectionEvictor.READ_GRACE_TICKS;
 
     private final Vertx vertx;
     private final MonotonicClock clock;
@@ -36,7 +38,7 @@
     private final Consumer<InboundRequest> onClientDisconnected;
     private final IdleConnectionSweeper sweeper;
     private final ConnectionEvictor evictor;
-    /** In the order in which they were accepted. */
+    /** The open connections in the order in which they were accepted. */
     private final Map<HttpConnection, ClientConnection> open = new LinkedHashMap<>();
 
     /** {@code onClientDisconnected} is called for each transaction whose connection ends before its response. */
@@ -60,24 +62,27 @@
         descriptors.onExhausted(() -> context.runOnContext(v -> evictor.start()));
     }
 
-    /** Sets how long a request or the reading of a response may take, by the longest deadline of all profiles. */
-    void longestDeadline(long ticks) {
-        sweeper.longestDeadline(ticks);
+    /**
+     * Sets the longest deadline of all profiles, which limits how long receiving a request or reading a response may
+     * take.
+     */
+    void setLongestDeadline(long ticks) {
+        sweeper.setLongestDeadline(ticks);
     }
 
-    /** The state of a connection; null once it has ended. */
-    ClientConnection of(HttpConnection connection) {
+    /** Returns the state of a connection, or null once it has ended. */
+    ClientConnection get(HttpConnection connection) {
         return open.get(connection);
     }
 
-    /** A connection has been accepted. */
+    /** Called when a connection has been accepted. */
     void accepted(HttpConnection http, StrictRequestDecoder decoder) {
         ClientConnection connection = new ClientConnection(http, decoder, this::isAboveKeepAliveLimit, clock.now());
         open.put(http, connection);
         http.exceptionHandler(e -> {});
         http.closeHandler(v -> ended(http, connection));
-        if (open.size() > descriptors.limit() - descriptors.limit() / RESERVED_PART && !evictor.evictOne()) {
-            connection.endWith(ConnectionEndReason.NO_CAPACITY);
+        if (open.size() > descriptors.limit() - descriptors.limit() / RESERVED_DIVISOR && !evictor.evictOne()) {
+            connection.setEndReason(ConnectionEndReason.NO_CAPACITY);
         }
     }
 
@@ -99,45 +104,51 @@
     }
 
     private boolean isAboveKeepAliveLimit() {
-        return open.size() > descriptors.limit() / KEEP_ALIVE_PART;
+        return open.size() > descriptors.limit() / KEEP_ALIVE_DIVISOR;
     }
 
     /**
-     * Whether a connection that was accepted without capacity has one request served: those that hold the descriptors
-     * have sent nothing, and will be evicted.
+     * Whether one request is served on this connection, which was accepted without capacity. This is so while other
+     * connections are unused: they hold the descriptors and will be evicted.
      */
-    boolean servesOnce(ClientConnection connection) {
-        return connection.endReason() == ConnectionEndReason.NO_CAPACITY && evictor.anyUnused();
+    boolean servesOneRequest(ClientConnection connection) {
+        return connection.endReason() == ConnectionEndReason.NO_CAPACITY && evictor.hasUnusedConnection();
     }
 
-    /** Used connections are no longer closed for being idle: once the program shuts down, no new ones may come. */
-    void keepIdle() {
-        sweeper.keepIdle();
+    /**
+     * Stops closing used connections for being idle, because clients may be unable to open new ones once the process is
+     * shutting down.
+     */
+    void keepIdleConnections() {
+        sweeper.keepIdleConnections();
     }
 
     /**
-     * Closes idle connections, and has each other one end with its next response. The request of one just accepted may
-     * be unread still: it is given time, and this is called again.
+     * Closes idle connections and makes every other connection end with its next response. The request of a recently
+     * accepted connection may still be unread, so that connection gets more time and this method runs again.
      */
     void shutDown() {
-        long before = clock.now() - SHUTDOWN_GRACE_TICKS - 2 * lag.now();
+        long cutoff = clock.now() - SHUTDOWN_GRACE_TICKS - 2 * lag.now();
         boolean anyRecent = false;
         for (ClientConnection connection : new ArrayList<>(open.values())) {
-            anyRecent |= shutDown(connection, before);
+            anyRecent |= shutDown(connection, cutoff);
         }
         if (anyRecent) {
             vertx.setTimer(SHUTDOWN_GRACE_TICKS / MonotonicClock.TICKS_PER_MILLI, t -> shutDown());
         }
     }
 
-    /** Whether the connection was accepted behind {@code before}, and its first request may be unread. */
-    private boolean shutDown(ClientConnection connection, long before) {
-        boolean recent = connection.transactionCount() == 0 && connection.lastUsedAt() > before;
-        boolean sending = connection.decoder().isPartial() && connection.lastActiveAt() > before;
+    /**
+     * Shuts down one connection. Returns whether it was accepted after {@code cutoff} and its first request may still
+     * be unread.
+     */
+    private boolean shutDown(ClientConnection connection, long cutoff) {
+        boolean recent = connection.transactionCount() == 0 && connection.lastUsedAt() > cutoff;
+        boolean sending = connection.decoder().isPartial() && connection.lastActiveAt() > cutoff;
         if (connection.isBusy() || recent || sending) {
-            connection.endWith(ConnectionEndReason.SHUTTING_DOWN);
+            connection.setEndReason(ConnectionEndReason.SHUTTING_DOWN);
         } else if (!connection.lastWrite().isComplete()) {
-            connection.endWith(ConnectionEndReason.SHUTTING_DOWN);
+            connection.setEndReason(ConnectionEndReason.SHUTTING_DOWN);
             connection.lastWrite().onComplete(done -> closeUnlessPipelined(connection));
         } else if (!connection.isLastResponseSent()) {
             connection.close(ConnectionEndReason.SHUTTING_DOWN);
@@ -145,7 +156,10 @@
         return recent;
     }
 
-    /** What a client that reads slowly has pipelined is answered behind its response, and ends with the last one. */
+    /**
+     * Closes a connection whose response is written. Requests that a slowly reading client has pipelined are still
+     * served; the connection then ends with the last response.
+     */
     private static void closeUnlessPipelined(ClientConnection connection) {
         if (!connection.isBusy() && !connection.decoder().hasPipelined()) {
             connection.close(ConnectionEndReason.SHUTTING_DOWN);
--- a/sidecar/src/main/java/trestlegrade/inbound/ConnectionEndReason.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ConnectionEndReason.java
@@ -1,12 +1,12 @@
 package trestlegrade.inbound;
 
-/** Why the connection of a client ended. The log and the counters name each reason by its {@link #code()}. */
+/** Why a client connection ended. Logs and counters identify each reason by its {@link #code()}. */
 enum ConnectionEndReason {
-    /** The client closed it between two transactions. */
+    /** The client closed the connection between two transactions. */
     CLIENT_CLOSED("client-closed"),
-    /** The client closed it while a transaction was being read or was open. */
+    /** The client closed the connection while a request was being read or a transaction was open. */
     CLIENT_DISCONNECTED("client-left"),
-    /** What the client sent is not a valid HTTP request. */
+    /** The client sent something other than a valid HTTP request. */
     MALFORMED_REQUEST("malformed"),
     /** A request body is longer than {@link InboundHttpServer#MAX_BODY_BYTES}. */
     BODY_TOO_LARGE("oversized"),
@@ -16,23 +16,23 @@
     TRACE_ID_IN_USE("id-taken"),
     /** The request names no profile of the settings. */
     UNKNOWN_PROFILE("unknown-profile"),
-    /** The client pipelined more than the limit of {@link PipeliningGate}. */
+    /** The client pipelined more than the limit of {@link PipeliningHandler}. */
     PIPELINE_OVERFLOW("too-far-ahead"),
-    /** It was accepted when too few descriptors were left to keep it. */
+    /** The connection was accepted when too few descriptors were left to keep it open. */
     NO_CAPACITY("too-many"),
-    /** So many connections were open that none is kept alive behind its response. */
+    /** Too many connections were open to keep this one alive after its response. */
     ABOVE_KEEP_ALIVE_LIMIT("crowd"),
-    /** It was idle, and closed for a connection that needs its descriptor. */
+    /** The connection was idle and was closed because another one needed its descriptor. */
     EVICTED("room"),
-    /** The client stopped sending in the midst of a request. */
+    /** The client did not send the rest of a request in time. */
     REQUEST_TIMEOUT("slow"),
-    /** The client connected, and sent nothing within the idle limit. */
+    /** The client connected but sent nothing within the idle limit. */
     NEVER_USED("silent"),
-    /** It was idle for longer than the idle limit. */
+    /** The connection was idle for longer than the idle limit. */
     IDLE("unused"),
-    /** The client did not read its response. */
+    /** The client did not read its response in time. */
     RESPONSE_NOT_READ("unread"),
-    /** The program shuts down. */
+    /** The process is shutting down. */
     SHUTTING_DOWN("draining");
 
     private final String code;
@@ -41,7 +41,7 @@
         this.code = code;
     }
 
-    /** The name in the log and in the counters. */
+    /** The identifier of the reason in logs and counters. */
     String code() {
         return code;
     }
--- a/sidecar/src/main/java/trestlegrade/inbound/ConnectionEvictor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ConnectionEvictor.java
@@ -6,18 +6,22 @@
 import trestlegrade.eventloop.MonotonicClock;
 
 /**
- * Closes connections that are idle so that others get their descriptors. While all descriptors are in use, clients wait
- * in the listener's backlog, and their deadlines run: unused connections are closed at once, not at the idle limit.
+ * Closes idle connections to free their descriptors for others. While all descriptors are in use, clients wait in the
+ * listener's backlog and their deadlines run, so unused connections are closed as soon as possible and not only at the
+ * idle limit.
  */
 final class ConnectionEvictor {
-    /** What a client sends behind its connect or a response has been read by then, on a loop that is on time. */
-    static final long UNREAD_TICKS = 1_000;
+    /**
+     * If the event loop is on time, what a client sends directly after connecting or after a response has been read
+     * within this time.
+     */
+    static final long READ_GRACE_TICKS = 1_000;
 
-    /** More lag than this is a stall, behind which all sockets are read before anything is evicted. */
-    private static final long ORDINARY_LAG_TICKS = 500;
+    /** A longer lag is a stall, after which all sockets are read before connections are evicted. */
+    private static final long MAX_ORDINARY_LAG_TICKS = 500;
 
     private static final long EVICTION_INTERVAL_MILLIS = 10;
-    private static final int MAX_EVICTIONS_AT_ONCE = 16;
+    private static final int MAX_EVICTIONS_PER_INTERVAL = 16;
 
     private final Vertx vertx;
     private final MonotonicClock clock;
@@ -26,7 +30,7 @@
     private final Collection<ClientConnection> open;
     private boolean running;
 
-    /** {@code open} is a view of the open connections, the oldest first. */
+    /** {@code open} is a view of the open connections, oldest first. */
     ConnectionEvictor(
             Vertx vertx,
             MonotonicClock clock,
@@ -40,7 +44,7 @@
         this.open = open;
     }
 
-    /** Evicts at regular times for as long as all descriptors are in use. */
+    /** Evicts connections at a fixed interval while all descriptors are in use. */
     void start() {
         if (!running) {
             running = true;
@@ -53,34 +57,35 @@
         if (!running) {
             return;
         }
-        if (anyUnused()) {
+        if (hasUnusedConnection()) {
             evictUnused();
         } else {
-            // Each costs its client a new connection: one at a time.
+            // Each eviction costs its client a new connection, so evict one at a time.
             evictOne();
         }
         vertx.setTimer(EVICTION_INTERVAL_MILLIS, t -> lag.caughtUp(this::evict));
     }
 
-    /** Whether nothing at all has come on some connection. */
-    boolean anyUnused() {
+    /** Whether any open connection is unused. */
+    boolean hasUnusedConnection() {
         return open.stream().anyMatch(ClientConnection::isUnused);
     }
 
     private void evictUnused() {
-        // All sockets have been read since the latest stall: how long it was does not matter.
-        long before = clock.now() - UNREAD_TICKS - 2 * Math.min(lag.now(), ORDINARY_LAG_TICKS);
+        // All sockets have been read since the latest stall, so its duration does not matter.
+        long cutoff = clock.now() - READ_GRACE_TICKS - 2 * Math.min(lag.now(), MAX_ORDINARY_LAG_TICKS);
         open.stream()
-                .filter(each -> each.isUnused() && each.lastActiveAt() <= before && !each.isClosing())
-                .limit(MAX_EVICTIONS_AT_ONCE)
+                .filter(each -> each.isUnused() && each.lastActiveAt() <= cutoff && !each.isClosing())
+                .limit(MAX_EVICTIONS_PER_INTERVAL)
                 .toList()
                 .forEach(each -> each.close(ConnectionEndReason.EVICTED));
     }
 
     /**
-     * Evicts one connection: one that only waits for its client's end, else the oldest that has carried nothing, else
-     * the one idle for longest. One used just now may hold an unread request, which would be lost: it is spared, for
-     * longer while the loop is late. False if there is none to evict.
+     * Evicts one connection: one that only waits for its client to close it, else the oldest that has served no
+     * transaction, else the one that has been idle for longest. A recently active connection is not evicted, because it
+     * may hold an unread request, which would be lost. The time that counts as recent grows with the event loop lag.
+     * Returns false if no connection can be evicted.
      */
     boolean evictOne() {
         for (ClientConnection connection : open) {
@@ -89,33 +94,36 @@
                 return true;
             }
         }
-        ClientConnection victim = idleForLongest(clock.now() - UNREAD_TICKS - 2 * lag.now());
-        if (victim != null) {
-            victim.close(ConnectionEndReason.EVICTED);
+        ClientConnection candidate = findCandidate(clock.now() - READ_GRACE_TICKS - 2 * lag.now());
+        if (candidate != null) {
+            candidate.close(ConnectionEndReason.EVICTED);
         }
-        return victim != null;
+        return candidate != null;
     }
 
-    /** The oldest that has carried nothing, else the one idle for longest; null if all were active since then. */
-    private ClientConnection idleForLongest(long before) {
-        ClientConnection victim = null;
+    /**
+     * Returns the oldest evictable connection that has served no transaction, else the evictable one that has been idle
+     * for longest. Returns null if none is evictable, for example because all were active after {@code cutoff}.
+     */
+    private ClientConnection findCandidate(long cutoff) {
+        ClientConnection candidate = null;
         for (ClientConnection connection : open) {
-            if (!isEvictable(connection, before)) {
+            if (!isEvictable(connection, cutoff)) {
                 continue;
             }
             if (connection.transactionCount() == 0) {
                 return connection;
             }
-            if (victim == null || connection.lastUsedAt() < victim.lastUsedAt()) {
-                victim = connection;
+            if (candidate == null || connection.lastUsedAt() < candidate.lastUsedAt()) {
+                candidate = connection;
             }
         }
-        return victim;
+        return candidate;
     }
 
-    private static boolean isEvictable(ClientConnection connection, long before) {
+    private static boolean isEvictable(ClientConnection connection, long cutoff) {
         return !connection.isBusy()
-                && connection.lastActiveAt() <= before
+                && connection.lastActiveAt() <= cutoff
                 && connection.endReason() == null
                 && connection.lastWrite().isComplete();
     }
--- a/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/GracefulShutdown.java
@@ -8,57 +8,57 @@
 import trestlegrade.runtime.PolicyExecutor;
 
 /**
- * The way from SIGTERM to the end of the program. The operators kill the program {@link #KILL_AFTER_DEADLINE_MILLIS}
- * after the longest deadline D (3 s at most); nobody else serves its clients, so it serves them until shortly before
- * that. What is in the kernel when the program ends is lost.
+ * Controls the shutdown from SIGTERM to the end of the process. Operators kill the process
+ * {@link #KILL_AFTER_DEADLINE_MILLIS} after the longest deadline D (at most 3 s). No other process serves its clients,
+ * so it serves them until shortly before that. Data still in the kernel when the process ends is lost.
  *
  * <table>
- * <caption>Who waits for what; times in milliseconds since SIGTERM, R = max(D, 600) + 100</caption>
- * <tr><th>phase</th><th>until</th><th>why</th></tr>
+ * <caption>Shutdown phases; times in milliseconds since SIGTERM, R = max(D, 600) + 100</caption>
+ * <tr><th>phase</th><th>until</th><th>reason</th></tr>
  * <tr><td>{@link Phase#DRAINING}</td><td>600</td>
- *   <td>clients open new connections for a while; all is served, but the health check fails</td></tr>
- * <tr><td>{@link Phase#CLOSES_WHEN_IDLE}</td>
+ *   <td>clients open new connections for a while; everything is served, but the health check fails</td></tr>
+ * <tr><td>{@link Phase#CLOSE_WHEN_IDLE}</td>
  *   <td>no client is connected, or max(600, R + 100 - longest latency objective / 2)</td>
- *   <td>the last transactions have half of their latency objective before the kill</td></tr>
+ *   <td>the last transactions get half of their latency objective before the kill</td></tr>
  * <tr><td>{@link Phase#CLOSING}</td><td>the listener's backlog is empty, or R + 300</td>
- *   <td>clients in the backlog are served once descriptors are free; idle connections are closed, others end with
+ *   <td>clients in the backlog are served once descriptors are available; idle connections are closed, others end with
  *   their next response</td></tr>
  * <tr><td>{@link Phase#LISTENER_CLOSED}</td><td>no client is connected</td>
  *   <td>each response is written and read</td></tr>
- * <tr><td>any</td><td>R</td><td>each final response is given by then</td></tr>
- * <tr><td>any</td><td>D + 650</td><td>the program ends before it is killed</td></tr>
+ * <tr><td>any</td><td>R</td><td>all final responses are sent by then</td></tr>
+ * <tr><td>any</td><td>D + 650</td><td>the process ends before it is killed</td></tr>
  * </table>
  *
  * <p>All methods are called on the event loop; times of the clock are ticks.
  */
 final class GracefulShutdown {
 
-    /** How far the shutdown is; each phase follows the one before. */
+    /** The phases of the shutdown, in order. */
     enum Phase {
-        /** SIGTERM has not come. */
+        /** SIGTERM has not been received. */
         RUNNING,
-        /** Serves as before; clients that have not noticed the shutdown may still connect. */
+        /** Serves as before, because clients that have not noticed the shutdown may still connect. */
         DRAINING,
-        /** Serves as before, and closes as soon as no client is connected. */
-        CLOSES_WHEN_IDLE,
-        /** Drains the listener's backlog, and has connections end. */
+        /** Serves as before, and starts closing as soon as no client is connected. */
+        CLOSE_WHEN_IDLE,
+        /** Drains the listener's backlog and ends connections. */
         CLOSING,
-        /** The listener is closed; ends once no client is connected. */
+        /** The listener is closed; the process ends once no client is connected. */
         LISTENER_CLOSED
     }
 
-    /** The operators wait no longer than this for a deadline, however long the settings allow transactions to take. */
+    /** The longest deadline that operators wait for, even if the settings allow transactions to take longer. */
     private static final long MAX_DEADLINE_MILLIS = 3_000;
 
     private static final long KILL_AFTER_DEADLINE_MILLIS = 700;
-    /** For the last lines of the log. */
+    /** Time reserved for writing the last lines of the log. */
     private static final long LOG_FLUSH_MILLIS = 50;
-    /** For the last responses to be given and written on a loop that runs late. */
+    /** Time reserved for sending and writing the last responses on an event loop that lags. */
     private static final long RESPONSE_MARGIN_MILLIS = 100;
-    /** For clients in the backlog, once the last responses have freed descriptors. */
+    /** Time reserved for clients in the backlog after the last responses have freed descriptors. */
     private static final long BACKLOG_MARGIN_MILLIS = 300;
-    /** Clients go on connecting for up to 400 ms; the rest is for a loop that runs late. */
-    private static final long NEW_CLIENTS_MILLIS = 600;
+    /** Clients continue to connect for up to 400 ms; the rest allows for event loop lag. */
+    private static final long NEW_CLIENTS_PERIOD_MILLIS = 600;
 
     private static final long CHECK_INTERVAL_MILLIS = 10;
 
@@ -89,7 +89,7 @@
         this.connections = connections;
     }
 
-    /** Whether SIGTERM has come. */
+    /** Whether SIGTERM has been received. */
     boolean isShuttingDown() {
         return phase != Phase.RUNNING;
     }
@@ -99,34 +99,36 @@
         return phase.compareTo(Phase.CLOSING) >= 0;
     }
 
-    /** By when each final response is given; {@link Long#MAX_VALUE} before SIGTERM. */
+    /** The time by which all final responses are sent; {@link Long#MAX_VALUE} before SIGTERM. */
     long responsesDueBy() {
         return responsesDueBy;
     }
 
     /**
-     * SIGTERM has come. {@code onEnded} is called, perhaps several times, when the program is to end.
+     * Starts the shutdown after SIGTERM.
      *
-     * @param config the settings now; later ones do not move the end
+     * @param config the current settings; later settings do not change the end of the shutdown
+     * @param onEnded called, possibly several times, when the process is to end
      */
     void begin(SidecarConfig config, Runnable onEnded) {
         phase = Phase.DRAINING;
-        connections.keepIdle();
+        connections.keepIdleConnections();
         long deadlineMillis = Math.min(MAX_DEADLINE_MILLIS, config.longestDeadlineMillis());
-        // Deadlines shorter than the wait for new clients: the last responses come after them, but before the kill.
-        long respondMillis = Math.max(deadlineMillis, NEW_CLIENTS_MILLIS) + RESPONSE_MARGIN_MILLIS;
+        // If deadlines are shorter than the period for new clients, the last responses are sent after the deadline but
+        // before the kill.
+        long respondMillis = Math.max(deadlineMillis, NEW_CLIENTS_PERIOD_MILLIS) + RESPONSE_MARGIN_MILLIS;
         responsesDueBy = clock.now() + respondMillis * MonotonicClock.TICKS_PER_MILLI;
         executor.drainBy(responsesDueBy);
         long closeMillis = respondMillis + RESPONSE_MARGIN_MILLIS - config.longestLatencyObjectiveMillis() / 2;
-        vertx.setTimer(NEW_CLIENTS_MILLIS, t -> newClientsAwaited());
-        vertx.setTimer(Math.max(NEW_CLIENTS_MILLIS, closeMillis), t -> close());
+        vertx.setTimer(NEW_CLIENTS_PERIOD_MILLIS, t -> newClientsPeriodEnded());
+        vertx.setTimer(Math.max(NEW_CLIENTS_PERIOD_MILLIS, closeMillis), t -> close());
         vertx.setTimer(deadlineMillis + KILL_AFTER_DEADLINE_MILLIS - LOG_FLUSH_MILLIS, t -> onEnded.run());
         vertx.setPeriodic(CHECK_INTERVAL_MILLIS, t -> closeOrEndOnceIdle(onEnded));
     }
 
-    private void newClientsAwaited() {
+    private void newClientsPeriodEnded() {
         if (phase == Phase.DRAINING) {
-            phase = Phase.CLOSES_WHEN_IDLE;
+            phase = Phase.CLOSE_WHEN_IDLE;
         }
     }
 
@@ -136,7 +138,7 @@
         }
         if (phase == Phase.LISTENER_CLOSED) {
             onEnded.run();
-        } else if (phase == Phase.CLOSES_WHEN_IDLE) {
+        } else if (phase == Phase.CLOSE_WHEN_IDLE) {
             close();
         }
     }
@@ -146,14 +148,14 @@
             return;
         }
         phase = Phase.CLOSING;
-        // What connections have sent so far is read before they are taken for idle.
+        // Read what clients have sent so far before treating their connections as idle.
         lag.afterReading(connections::shutDown);
         Runnable onListenerClosed = () -> context.runOnContext(v -> lag.afterReading(this::listenerClosed));
         transport.closeListener(
                 clock, responsesDueBy + BACKLOG_MARGIN_MILLIS * MonotonicClock.TICKS_PER_MILLI, onListenerClosed);
     }
 
-    /** What the clients accepted last have sent has been read. */
+    /** Called when the listener is closed and the data of the clients accepted last has been read. */
     private void listenerClosed() {
         connections.shutDown();
         phase = Phase.LISTENER_CLOSED;
--- a/sidecar/src/main/java/trestlegrade/inbound/IdleConnectionSweeper.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/IdleConnectionSweeper.java
@@ -9,67 +9,72 @@
 import trestlegrade.metrics.Counters;
 
 /**
- * Ends connections that bring nothing: idle ones, requests that stop or take too long, and responses that are not read.
- * Each of them would hold a descriptor for good.
+ * Periodically ends connections that are idle, whose request stalls or takes too long, or whose response is not read.
+ * Each of them would otherwise hold a descriptor indefinitely.
  */
 final class IdleConnectionSweeper {
     private static final long SWEEP_INTERVAL_MILLIS = 200;
-    /** A client sends a whole request as soon as it is connected. */
+    /** The limit can be short, because a client sends a whole request as soon as it is connected. */
     private static final long IDLE_LIMIT_TICKS = 20_000;
 
     private final MonotonicClock clock;
     private final Counters counters;
     private final Collection<ClientConnection> open;
     private long transferLimitTicks = IDLE_LIMIT_TICKS;
-    private boolean keepIdle;
+    private boolean keepIdleConnections;
 
-    /** Sweeps from now on. {@code open} is a view of the open connections. */
+    /** Starts sweeping. {@code open} is a view of the open connections. */
     IdleConnectionSweeper(
             Vertx vertx, MonotonicClock clock, Counters counters, EventLoopLag lag, Collection<ClientConnection> open) {
         this.clock = clock;
         this.counters = counters;
         this.open = open;
-        // What came during a stall is read first: its connection is not idle.
+        // Data received during an event loop stall is read first, because its connection is not idle.
         vertx.setPeriodic(SWEEP_INTERVAL_MILLIS, t -> lag.caughtUp(this::sweep));
     }
 
-    /** However steadily a client sends or reads, no transfer lasts longer than any transaction may. */
-    void longestDeadline(long ticks) {
+    /**
+     * Sets the longest deadline of any transaction. No transfer may take longer than that or the idle limit, whichever
+     * is longer, even if the client keeps sending or reading.
+     */
+    void setLongestDeadline(long ticks) {
         transferLimitTicks = Math.max(IDLE_LIMIT_TICKS, ticks);
     }
 
-    /** From now on used connections may be idle for any time. */
-    void keepIdle() {
-        keepIdle = true;
+    /** Stops ending used connections for being idle. */
+    void keepIdleConnections() {
+        keepIdleConnections = true;
     }
 
     private void sweep() {
         long now = clock.now();
         for (ClientConnection connection : new ArrayList<>(open)) {
             if (!connection.lastWrite().isComplete()) {
-                endIfUnread(connection, now);
+                endIfResponseUnread(connection, now);
             } else if (isOverdue(connection, now)
                     && !connection.isLastResponseSent()
                     && !connection.hasOpenTransaction()) {
-                end(connection, now);
+                endOverdue(connection, now);
             }
         }
     }
 
     /**
-     * The client may still read, and what it has pipelined would be lost with the connection. One that never reads is
-     * reset: the library closes a connection only behind its last byte, and would keep the descriptor for good.
+     * Resets a connection whose response is not read within the transfer limit. Until then the client may still read,
+     * and its pipelined requests would be lost with the connection. It is reset because the library closes a connection
+     * only after its last byte is written, and would hold the descriptor indefinitely.
      */
-    private void endIfUnread(ClientConnection connection, long now) {
+    private void endIfResponseUnread(ClientConnection connection, long now) {
         if (now - connection.lastUsedAt() > transferLimitTicks) {
-            connection.endWith(ConnectionEndReason.RESPONSE_NOT_READ);
+            connection.setEndReason(ConnectionEndReason.RESPONSE_NOT_READ);
             connection.decoder().closeNow();
         }
     }
 
     /**
-     * A client that writes slowly sends its request for as long as bytes come, up to the limit of a transfer. A
-     * connection that is to end with its response is bounded as well: it would hold one of the last descriptors.
+     * Returns whether the connection has been idle for too long or its request takes too long. A slow client may send
+     * its request while bytes keep arriving, up to the transfer limit. The limits also apply to a connection that is to
+     * end with its response, because it would hold one of the last descriptors.
      */
     private boolean isOverdue(ClientConnection connection, long now) {
         StrictRequestDecoder decoder = connection.decoder();
@@ -77,16 +82,16 @@
             return now - connection.lastUsedAt() > IDLE_LIMIT_TICKS;
         }
         return now - connection.lastActiveAt() > IDLE_LIMIT_TICKS
-                || now - decoder.messageBegunAt() > transferLimitTicks;
+                || now - decoder.messageStartedAt() > transferLimitTicks;
     }
 
-    private void end(ClientConnection connection, long now) {
+    private void endOverdue(ClientConnection connection, long now) {
         boolean used = connection.transactionCount() > 0;
         if (connection.isReading()) {
-            connection.endWithIfUndecided(ConnectionEndReason.REQUEST_TIMEOUT);
+            connection.setEndReasonIfAbsent(ConnectionEndReason.REQUEST_TIMEOUT);
             counters.rejected(Rejection.REQUEST_TIMEOUT.status());
             connection.respond(connection.pendingResponse(), Rejection.REQUEST_TIMEOUT.status(), Buffer.buffer(), now);
-        } else if (!used || connection.decoder().isPartial() || !keepIdle) {
+        } else if (!used || connection.decoder().isPartial() || !keepIdleConnections) {
             connection.close(used ? ConnectionEndReason.IDLE : ConnectionEndReason.NEVER_USED);
         }
     }
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
@@ -18,29 +18,29 @@
 import trestlegrade.runtime.WarmUp;
 
 /**
- * The application's side: listens, routes requests to the health check, the counters or the transactions, and shuts
- * down. All methods but the constructor are called on the event loop.
+ * The HTTP server for client applications. It listens, routes requests to the health check, the counters or the
+ * transactions, and shuts down. All methods except the constructor are called on the event loop.
  */
 public final class InboundHttpServer {
-    /** The protocol's bound on the bodies of requests and responses. */
+    /** The maximum length of request and response bodies in the protocol. */
     public static final int MAX_BODY_BYTES = 64 << 10;
 
     private static final String HEALTH_TARGET = "/_health";
     private static final String COUNTERS_TARGET = "/_counters";
     private static final int OK = 200;
     private static final int UNHEALTHY = 503;
-    /** More than the descriptors allow to be open: no client that connects during a stall is refused. */
+    /** More connections than the descriptors allow, so that no client is refused that connects during a stall. */
     private static final int ACCEPT_BACKLOG = 1024;
-    /** Of the heap; as much is for the bodies of responses. */
-    private static final double REQUEST_BODIES_FRACTION = 0.3;
+    /** The fraction of the heap for request bodies; response bodies may use the same. */
+    private static final double REQUEST_BODIES_HEAP_FRACTION = 0.3;
 
     private final Vertx vertx;
     private final MonotonicClock clock;
     private final Counters counters;
     private final EndpointRegistry endpoints;
     private final EventLoopLag lag;
-    private final BodyMemoryBudget requestBodies = BodyMemoryBudget.ofHeap(REQUEST_BODIES_FRACTION);
-    private final PipeliningGate.TotalBytes pipelinedBytes = new PipeliningGate.TotalBytes();
+    private final BodyMemoryBudget requestBodies = BodyMemoryBudget.ofHeap(REQUEST_BODIES_HEAP_FRACTION);
+    private final PipeliningHandler.TotalBytes pipelinedBytes = new PipeliningHandler.TotalBytes();
     private final ClientConnections connections;
     private final ResponseWriter writer;
     private final GracefulShutdown shutdown;
@@ -50,7 +50,7 @@
     private SidecarConfig config;
     private boolean ready;
 
-    /** A server that does not listen yet; called on the event loop's context. */
+    /** Creates a server that does not listen yet. Called on the event loop's context. */
     public InboundHttpServer(
             Vertx vertx,
             Context context,
@@ -78,39 +78,41 @@
         applyConfig(config);
     }
 
-    /** New settings, for requests that are read from now on. */
+    /** Applies new settings to requests that are read from now on. */
     public void applyConfig(SidecarConfig applied) {
         config = applied;
-        connections.longestDeadline(MonotonicClock.TICKS_PER_MILLI * applied.longestDeadlineMillis());
+        connections.setLongestDeadline(MonotonicClock.TICKS_PER_MILLI * applied.longestDeadlineMillis());
         acceptor.applyConfig(applied);
     }
 
-    /** Listens. Fails if the address is in use, or the system has had no socket for it for 10 s. */
+    /**
+     * Starts listening. Fails if the address is in use, or if the system has had no socket for the listener for 10 s.
+     */
     public Future<HttpServer> listen() {
         return binder.bind();
     }
 
-    /** From now on the health check succeeds, if an endpoint is active. */
+    /** Lets the health check succeed from now on while an endpoint is active. */
     public void markReady() {
         ready = true;
     }
 
-    /** Begins the graceful shutdown; {@code onEnded} is called when the program is to end. */
+    /** Starts the graceful shutdown; {@code onEnded} is called, possibly several times, when the process is to end. */
     public void shutDown(Runnable onEnded) {
         shutdown.begin(config, onEnded);
     }
 
-    /** How many trace ids of transactions are open, whose final response is owed. */
+    /** Returns the number of trace ids of transactions whose final response is pending. */
     public int openTraceIdCount() {
         return acceptor.openTraceIds().count();
     }
 
-    /** Bytes that the bodies of requests hold, from their first byte until no attempt needs them. */
+    /** Returns the bytes that request bodies hold, from their first byte until no attempt needs them. */
     public long requestBodyBytes() {
         return requestBodies.claimedBytes();
     }
 
-    /** How many connections of clients are open. */
+    /** Returns the number of open client connections. */
     public int connectionCount() {
         return connections.count();
     }
@@ -123,24 +125,24 @@
                 .setHttp2ClearTextEnabled(false)
                 .setHandle100ContinueAutomatically(true)
                 .setAcceptBacklog(ACCEPT_BACKLOG)
-                // No client speaks WebSocket here, so no head need pass the library's reader of its extensions.
+                // Clients do not use WebSocket, so the handler of its extensions is not needed in the pipeline.
                 .setPerFrameWebSocketCompressionSupported(false)
                 .setPerMessageWebSocketCompressionSupported(false);
         HttpServer server = vertx.createHttpServer(options);
-        server.connectionHandler(connection -> accepted(connection, options));
+        server.connectionHandler(connection -> onConnection(connection, options));
         server.invalidRequestHandler(this::onMalformedHead);
         server.requestHandler(this::onRequest);
         return server;
     }
 
-    private void accepted(HttpConnection connection, HttpServerOptions options) {
+    private void onConnection(HttpConnection connection, HttpServerOptions options) {
         StrictRequestDecoder decoder = StrictRequestDecoder.install(
                 connection,
                 options,
                 clock,
                 lag,
                 pipelinedBytes,
-                () -> connections.of(connection).endWith(ConnectionEndReason.PIPELINE_OVERFLOW));
+                () -> connections.get(connection).setEndReason(ConnectionEndReason.PIPELINE_OVERFLOW));
         connections.accepted(connection, decoder);
     }
 
@@ -149,9 +151,9 @@
     }
 
     private void onRequest(HttpServerRequest request) {
-        ClientConnection connection = connections.of(request.connection());
+        ClientConnection connection = connections.get(request.connection());
         if (connection == null || connection.isLastResponseSent()) {
-            // Its connection has ended, or does with the response before this one.
+            // The connection has ended or ends with the previous response.
             return;
         }
         String target = request.uri();
@@ -174,7 +176,7 @@
     }
 
     private void onMalformedHead(HttpServerRequest request) {
-        ClientConnection connection = connections.of(request.connection());
+        ClientConnection connection = connections.get(request.connection());
         if (connection != null && !connection.isLastResponseSent()) {
             reader.rejectMalformedHead(request, connection);
         }
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
@@ -10,43 +10,48 @@
 import trestlegrade.runtime.PolicyGeneration;
 
 /**
- * One transaction of a client: the request, its attempts, and its single final response. Used on the event loop alone.
+ * One transaction of a client: the request, its attempts and its single final response. Used only on the event loop.
  */
 public final class InboundRequest {
 
-    /** Gives a client the final response of a transaction; exactly one of the last three is called, once at most. */
+    /**
+     * Sends the final response of a transaction to its client. At most one of {@link #committed}, {@link #rolledBack}
+     * and {@link #abandoned} is called, and at most once.
+     */
     public interface Client {
         /** Whether the client has disconnected, so that no response can reach it. */
         boolean isDisconnected();
 
-        /** The transaction took effect. Complete once the body is written, or can no longer be. */
+        /** The transaction took effect. The future completes when the body is written or can no longer be written. */
         Future<Void> committed(MultiMap head, Buffer body);
 
-        /** The transaction had no effect, and may be retried after this wait in ticks; 0 states no wait. */
+        /**
+         * The transaction had no effect and may be retried after this delay in ticks; 0 means that no delay is stated.
+         */
         void rolledBack(long retryAfterTicks);
 
-        /** Whether the transaction took effect is unknown. */
+        /** It is unknown whether the transaction took effect. */
         void abandoned();
     }
 
-    private static final int USUAL_ATTEMPTS = 3;
+    private static final int INITIAL_ATTEMPTS_CAPACITY = 3;
 
     public final RequestHead head;
     public final Buffer body;
     public final RequestMetadata metadata;
-    public final List<OutboundAttempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
-    /** Attempts whose end has not been reported yet. */
+    public final List<OutboundAttempt> attempts = new ArrayList<>(INITIAL_ATTEMPTS_CAPACITY);
+    /** The number of attempts whose end has not been reported yet. */
     public int attemptsInFlight;
-    /** Assigned by the policy executor; 0 before. */
+    /** The id that the policy executor assigns; 0 before that. */
     public long id;
-    /** The settings under which it was accepted, and under which it ends; null before. */
+    /** The settings under which the request was accepted and under which it ends; null before it is accepted. */
     public PolicyGeneration generation;
 
     private final Client client;
     private BodyMemoryBudget.Claim bodyMemory;
-    private boolean over;
+    private boolean finished;
 
-    /** A request that has been read completely, and has had no attempt yet. */
+    /** Creates a request that has been read completely and has had no attempt yet. */
     public InboundRequest(RequestHead head, Buffer body, RequestMetadata metadata, Client client) {
         this.head = head;
         this.body = body;
@@ -54,29 +59,29 @@
         this.client = client;
     }
 
-    /** Whether the final response has been given, or nobody waits for it any more. */
+    /** Whether the final response has been sent, or the client has disconnected. */
     public boolean isFinished() {
-        return over;
+        return finished;
     }
 
-    /** Whether an attempt may be made: the final response is open, and its client waits for it. */
+    /** Whether an attempt may be made: the final response is pending and the client is connected. */
     public boolean isAwaitingResponse() {
-        return !over && !client.isDisconnected();
+        return !finished && !client.isDisconnected();
     }
 
-    /** Hands over the memory of its body, which it holds until {@link #releaseBodyMemory}. */
-    void ownBodyMemory(BodyMemoryBudget.Claim memory) {
+    /** Transfers the memory of the body to this request, which holds it until {@link #releaseBodyMemory}. */
+    void setBodyMemory(BodyMemoryBudget.Claim memory) {
         bodyMemory = memory;
     }
 
-    /** Frees the memory of its body. It is over, and has no attempt in flight. */
+    /** Releases the memory of the body. The request must be finished and have no attempt in flight. */
     public void releaseBodyMemory() {
         if (bodyMemory != null) {
             bodyMemory.release();
         }
     }
 
-    /** Responds with an endpoint's response. Complete once that takes no more memory here. */
+    /** Responds with an endpoint's response. The future completes when the response holds no more memory here. */
     public Future<Void> commit(MultiMap headers, Buffer response, Counters counters) {
         if (!finish(counters)) {
             return Future.succeededFuture();
@@ -85,7 +90,10 @@
         return client.committed(headers, response);
     }
 
-    /** Responds that it had no effect, and may be retried after this wait in ticks; 0 states no wait. */
+    /**
+     * Responds that the transaction had no effect and may be retried after this delay in ticks; 0 means that no delay
+     * is stated.
+     */
     public void rollBack(long retryAfterTicks, Counters counters) {
         if (finish(counters)) {
             counters.rolledBack++;
@@ -93,7 +101,7 @@
         }
     }
 
-    /** Responds that its effect is unknown. */
+    /** Responds that the effect of the transaction is unknown. */
     public void abandon(Counters counters) {
         if (finish(counters)) {
             counters.abandoned++;
@@ -101,21 +109,21 @@
         }
     }
 
-    /** Its client has disconnected: it is over without a response. Further calls do nothing. */
+    /** Finishes the request without a response, because the client has disconnected. Further calls do nothing. */
     public void clientDisconnected(Counters counters) {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             counters.clientsLeft++;
         }
     }
 
-    /** Whether the response about to be given is the final one, and can reach the client. */
+    /** Finishes the request. Returns whether a final response may still be sent to the client. */
     private boolean finish(Counters counters) {
         if (client.isDisconnected()) {
             clientDisconnected(counters);
         }
-        boolean first = !over;
-        over = true;
-        return first;
+        boolean stillOpen = !finished;
+        finished = true;
+        return stillOpen;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/inbound/InterruptibleSocketChannel.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InterruptibleSocketChannel.java
@@ -7,28 +7,29 @@
 
 /**
  * A TCP connection whose reads may be interrupted (EINTR). The JDK reports an interrupted read of a non-blocking socket
- * as a number below that of the end of the stream, and Netty takes each negative number for the end: it would close the
- * connection, and what the peer had sent would be lost. Here such a read counts as empty, and the loop reads again.
+ * as a number below {@link #END_OF_STREAM}, but Netty treats every negative number as the end of the stream. It would
+ * close the connection, and data sent by the peer would be lost. Here such a read returns no bytes, and the event loop
+ * reads again.
  */
 final class InterruptibleSocketChannel extends NioSocketChannel {
     private static final int END_OF_STREAM = -1;
 
-    private final long backlogNanoseconds;
+    private final long backlogNanos;
 
-    /** A connection to an endpoint. */
+    /** Creates a connection to an endpoint. */
     InterruptibleSocketChannel() {
-        backlogNanoseconds = 0;
+        backlogNanos = 0;
     }
 
-    /** A connection that was accepted; its client waited no longer than that in the listener's backlog. */
-    InterruptibleSocketChannel(Channel listener, SocketChannel socket, long backlogNanoseconds) {
+    /** Creates an accepted connection whose client waited at most {@code backlogNanos} in the listener's backlog. */
+    InterruptibleSocketChannel(Channel listener, SocketChannel socket, long backlogNanos) {
         super(listener, socket);
-        this.backlogNanoseconds = backlogNanoseconds;
+        this.backlogNanos = backlogNanos;
     }
 
-    /** How long its client may have waited in the listener's backlog, at most. */
-    long backlogNanoseconds() {
-        return backlogNanoseconds;
+    /** Returns the maximum time that the client may have waited in the listener's backlog. */
+    long backlogNanos() {
+        return backlogNanos;
     }
 
     @Override
--- a/sidecar/src/main/java/trestlegrade/inbound/LingeringClose.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/LingeringClose.java
@@ -12,17 +12,18 @@
 import trestlegrade.eventloop.MonotonicClock;
 
 /**
- * Closes a connection behind a response without a reset. To close a socket with unread bytes resets it, and the client
- * loses what it has not read of the response. So a close, of this program or of the library, ends only this side at
- * first; what the client still sends is read and dropped until it closes its side, or nothing more comes.
+ * Closes a connection after a response without a reset. Closing a socket with unread bytes resets the connection, and
+ * the client loses the part of the response that it has not read. Therefore a close, whether by this program or by the
+ * library, shuts down only the output at first. Further input is read and discarded until the client closes its side or
+ * sends nothing more.
  */
 final class LingeringClose extends ChannelDuplexHandler {
     private static final long TICKS_PER_MILLISECOND = 10;
-    /** What a client had under way comes within a few milliseconds; the descriptor is held for so long. */
+    /** Data that a client has already sent arrives within a few milliseconds; the descriptor is held this long. */
     private static final long QUIET_TICKS = 1_000;
 
     private static final long MAX_LINGER_TICKS = 10_000;
-    /** A client that was answered in the midst of its request goes on sending it, perhaps slowly. */
+    /** A client that gets a response in the middle of its request continues to send it, possibly slowly. */
     private static final long PARTIAL_QUIET_TICKS = 10_000;
 
     private static final long PARTIAL_MAX_LINGER_TICKS = 30_000;
@@ -30,7 +31,7 @@
     private final StrictRequestDecoder decoder;
     private final MonotonicClock clock;
     private final EventLoopLag lag;
-    private boolean finalResponse;
+    private boolean writingFinalResponse;
     private long responseWrittenAt = Long.MIN_VALUE / 2;
     private boolean lingering;
     private ChannelHandlerContext context;
@@ -41,12 +42,12 @@
         this.lag = lag;
     }
 
-    /** Whether this side has ended the connection behind a response that is written. */
+    /** Whether this side has closed the connection after a response and waits for the client to close it. */
     boolean isLingering() {
         return lingering;
     }
 
-    /** Closes the connection at once; what is still to be read or written is lost. */
+    /** Closes the connection immediately; data that is not yet read or written is lost. */
     void closeNow() {
         context.close();
     }
@@ -59,37 +60,37 @@
     @Override
     public void write(ChannelHandlerContext context, Object part, ChannelPromise promise) throws Exception {
         if (part instanceof HttpResponse head) {
-            finalResponse = head.status().codeClass() != HttpStatusClass.INFORMATIONAL;
+            writingFinalResponse = head.status().codeClass() != HttpStatusClass.INFORMATIONAL;
         }
         ChannelPromise written = promise;
-        if (finalResponse && part instanceof LastHttpContent) {
+        if (writingFinalResponse && part instanceof LastHttpContent) {
             written = promise.unvoid();
             written.addListener(done -> responseWrittenAt = clock.now());
         }
         super.write(context, part, written);
     }
 
-    /** An idle connection is closed at once. The library and this program may both close the same one. */
+    /** Closes an idle connection immediately. Both the library and this program may close the same connection. */
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) throws Exception {
         if (lingering) {
             context.channel().closeFuture().addListener(closed -> promise.trySuccess());
-        } else if (isBehindResponse() && context.channel().isActive()) {
+        } else if (followsResponse() && context.channel().isActive()) {
             linger(context, promise);
         } else {
             super.close(context, promise);
         }
     }
 
-    private boolean isBehindResponse() {
+    private boolean followsResponse() {
         return clock.now() - responseWrittenAt < QUIET_TICKS
-                || (decoder.isPartial() && responseWrittenAt >= decoder.messageBegunAt());
+                || (decoder.isPartial() && responseWrittenAt >= decoder.messageStartedAt());
     }
 
     private void linger(ChannelHandlerContext context, ChannelPromise promise) {
         lingering = true;
         decoder.discardInput();
-        // The library may have stopped reading.
+        // The library may have disabled reading.
         context.channel().config().setAutoRead(true);
         ((DuplexChannel) context.channel()).shutdownOutput();
         boolean partial = decoder.isPartial();
@@ -99,7 +100,7 @@
     }
 
     private void closeOnceQuiet(ChannelHandlerContext context, ChannelPromise promise, long quietTicks, long deadline) {
-        // Behind a stall what has come is read first.
+        // After an event loop stall, data that has arrived is read first.
         Runnable check = () -> lag.caughtUp(() -> {
             if (clock.now() < deadline && clock.now() - decoder.lastReadAt() < quietTicks) {
                 closeOnceQuiet(context, promise, quietTicks, deadline);
--- a/sidecar/src/main/java/trestlegrade/inbound/PipeliningGate.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/PipeliningHandler.java
@@ -15,23 +15,26 @@
 import trestlegrade.eventloop.MonotonicClock;
 
 /**
- * Lets one request at a time through to the server, the next one behind the response to the one before. What a client
- * pipelines waits here while the connection is read on. The library would stop reading it: the end of a client behind
- * its requests would not be seen, and all of them would be run for nobody. At the connection's end what waits is
- * dropped.
+ * Forwards one request at a time to the server, the next one after the response to the previous one. Pipelined requests
+ * wait here while the connection is still being read. The library would stop reading the connection, so a client's
+ * disconnect after its requests would not be noticed, and all of them would run although no client waits. When the
+ * connection ends, waiting requests are discarded.
  */
-final class PipeliningGate extends ChannelDuplexHandler {
+final class PipeliningHandler extends ChannelDuplexHandler {
 
-    /** The bytes that wait on all connections together. */
+    /** The total number of bytes that wait on all connections. */
     static final class TotalBytes {
         private long bytes;
     }
 
-    /** A client that keeps to the protocol has one request open: room for a long body and a hundred short requests. */
-    private static final long MAX_BYTES = 256 << 10;
-    /** A twentieth of the heap. */
+    /**
+     * The limit per connection: room for one long body and a hundred short requests. A client that follows the protocol
+     * has one request open.
+     */
+    private static final long MAX_CONNECTION_BYTES = 256 << 10;
+    /** The limit for all connections, a twentieth of the heap. */
     private static final long MAX_TOTAL_BYTES = 4 << 20;
-    /** What the head of a request takes beside its text, at most. */
+    /** The maximum memory of a request head in addition to its text. */
     private static final long HEAD_OVERHEAD_BYTES = 1 << 10;
 
     private final StrictRequestDecoder decoder;
@@ -39,30 +42,30 @@
     private final TotalBytes total;
     private final Runnable onOverflow;
     private final Deque<Object> waiting = new ArrayDeque<>();
-    /** When the last byte came of each complete request that waits, in ticks of the clock. */
+    /** When the last byte of each complete waiting request arrived, in ticks of the clock. */
     private final Deque<Long> waitingReceivedAt = new ArrayDeque<>();
 
     private long receivedAt;
-    private long bytes;
+    private long waitingBytes;
     private boolean requestOpen;
 
     /**
-     * {@code onOverflow} is called once more is pipelined than may wait, before the last request that came whole is let
-     * through: the connection has to end with the response to that.
+     * {@code onOverflow} is called after more was pipelined than may wait, before the last complete request is
+     * forwarded. The connection has to end with the response to that request.
      */
-    PipeliningGate(StrictRequestDecoder decoder, MonotonicClock clock, TotalBytes total, Runnable onOverflow) {
+    PipeliningHandler(StrictRequestDecoder decoder, MonotonicClock clock, TotalBytes total, Runnable onOverflow) {
         this.decoder = decoder;
         this.clock = clock;
         this.total = total;
         this.onOverflow = onOverflow;
     }
 
-    /** Whether requests wait for the response to the one that was let through. */
+    /** Whether requests wait for the response to the forwarded request. */
     boolean hasPipelined() {
         return !waiting.isEmpty();
     }
 
-    /** When the last byte came of the request that was let through, which may have waited here since. */
+    /** When the last byte of the forwarded request arrived; the request may have waited here since. */
     long receivedAt() {
         return receivedAt;
     }
@@ -71,7 +74,7 @@
     public void channelRead(ChannelHandlerContext context, Object part) {
         if (waiting.isEmpty() && !(part instanceof HttpRequest && requestOpen)) {
             receivedAt = clock.now();
-            pass(context, part);
+            forward(context, part);
         } else if (decoder.discardsInput()) {
             ReferenceCountUtil.release(part);
         } else {
@@ -84,15 +87,15 @@
         if (part instanceof LastHttpContent) {
             waitingReceivedAt.add(clock.now());
         }
-        count(size(part));
-        if (bytes > MAX_BYTES || total.bytes > MAX_TOTAL_BYTES) {
+        addBytes(size(part));
+        if (waitingBytes > MAX_CONNECTION_BYTES || total.bytes > MAX_TOTAL_BYTES) {
             overflow();
         }
     }
 
     /**
-     * Drops the request that is not complete, which was never begun, and all that still comes. To leave that unread in
-     * the kernel would hide the client's end.
+     * Discards the incomplete request, which was never forwarded, and all further input. Leaving the input unread in
+     * the kernel would hide the client's disconnect.
      */
     private void overflow() {
         decoder.discardInput();
@@ -100,7 +103,7 @@
         while (partial) {
             Object part = waiting.pollLast();
             partial = !(part instanceof HttpRequest);
-            count(-size(part));
+            addBytes(-size(part));
             ReferenceCountUtil.release(part);
         }
         if (waiting.isEmpty()) {
@@ -116,17 +119,17 @@
         if (part instanceof LastHttpContent && !interim) {
             requestOpen = false;
             if (!waiting.isEmpty()) {
-                // Not from inside the call that wrote the response.
-                context.executor().execute(() -> passNext(context));
+                // Do not forward from within the call that wrote the response.
+                context.executor().execute(() -> forwardNext(context));
             }
         }
     }
 
-    /** Lets the first request that waits through, with all that has come of it. */
-    private void passNext(ChannelHandlerContext context) {
+    /** Forwards the first waiting request, as far as it has arrived. */
+    private void forwardNext(ChannelHandlerContext context) {
         while (!waiting.isEmpty() && !(waiting.peekFirst() instanceof HttpRequest && requestOpen)) {
             Object part = waiting.pollFirst();
-            count(-size(part));
+            addBytes(-size(part));
             if (part instanceof LastHttpContent) {
                 receivedAt = waitingReceivedAt.pollFirst();
             }
@@ -135,19 +138,19 @@
                     && waiting.stream().noneMatch(HttpRequest.class::isInstance)) {
                 onOverflow.run();
             }
-            pass(context, part);
+            forward(context, part);
         }
         context.fireChannelReadComplete();
     }
 
-    private void pass(ChannelHandlerContext context, Object part) {
+    private void forward(ChannelHandlerContext context, Object part) {
         requestOpen |= part instanceof HttpRequest;
         context.fireChannelRead(part);
     }
 
-    private void count(long more) {
-        bytes += more;
-        total.bytes += more;
+    private void addBytes(long added) {
+        waitingBytes += added;
+        total.bytes += added;
     }
 
     private static long size(Object part) {
@@ -163,17 +166,17 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) throws Exception {
-        dropWaiting();
+        discardWaiting();
         super.channelInactive(context);
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext context) {
-        dropWaiting();
+        discardWaiting();
     }
 
-    private void dropWaiting() {
-        count(-bytes);
+    private void discardWaiting() {
+        addBytes(-waitingBytes);
         waiting.forEach(ReferenceCountUtil::release);
         waiting.clear();
         waitingReceivedAt.clear();
--- a/sidecar/src/main/java/trestlegrade/inbound/RequestDeadline.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/RequestDeadline.java
@@ -4,14 +4,15 @@
 import trestlegrade.eventloop.MonotonicClock;
 
 /**
- * Until when a request is worked on. Its client's wait began with its last byte, which may have waited to be read: in
- * the listener's backlog, behind another request of its connection, or while the event loop stood still. A deadline
- * that ignored that would have the response come after the client has given up. All times are ticks.
+ * Computes the deadline of a request. The client's timeout started when it sent the last byte of the request. That byte
+ * may have waited to be read: in the listener's backlog, behind another request on the connection, or during an event
+ * loop stall. If the deadline ignored that wait, the response could arrive after the client has given up. All times are
+ * ticks.
  */
 final class RequestDeadline {
-    /** However late the loop runs, no more than one part in so many of the wait is taken off for that. */
-    private static final int LAG_PART = 4;
-    /** A loop that is on time may stand still until the response is due, while other processes have its core. */
+    /** Event loop lag reduces the remaining time by at most one part in this many. */
+    private static final int MAX_LAG_DIVISOR = 4;
+    /** Time reserved because an event loop that is on time may still stall while other processes use its core. */
     private static final long STALL_RESERVE_TICKS = 10_000;
 
     private final MonotonicClock clock;
@@ -24,18 +25,18 @@
         this.shutdown = shutdown;
     }
 
-    /** The deadline of the request just read; {@code timeoutTicks} is how long its client waits. */
-    long of(ClientConnection connection, long timeoutTicks) {
+    /** Returns the deadline of the request just read; {@code timeoutTicks} is how long its client waits in total. */
+    long compute(ClientConnection connection, long timeoutTicks) {
         long waited = clock.now()
                 - connection.decoder().receivedAt()
                 + connection.decoder().backlogTicks(lag.now());
-        long left = Math.max(0, timeoutTicks - waited);
-        // What is read after a stall may have come at its beginning.
-        long unread = Math.min(left, lag.unread());
-        long late = Math.max(0, lag.now());
-        long reserve = Math.min(Math.max(STALL_RESERVE_TICKS, late), left / LAG_PART);
+        long remaining = Math.max(0, timeoutTicks - waited);
+        // Data that is read after a stall may have arrived at its start.
+        long unreadTicks = Math.min(remaining, lag.unread());
+        long lagTicks = Math.max(0, lag.now());
+        long reserve = Math.min(Math.max(STALL_RESERVE_TICKS, lagTicks), remaining / MAX_LAG_DIVISOR);
         return Math.min(
-                shutdown.responsesDueBy() - Math.min(late, left / LAG_PART),
-                clock.now() + left - Math.max(unread, reserve));
+                shutdown.responsesDueBy() - Math.min(lagTicks, remaining / MAX_LAG_DIVISOR),
+                clock.now() + remaining - Math.max(unreadTicks, reserve));
     }
 }
--- a/sidecar/src/main/java/trestlegrade/inbound/RequestReader.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/RequestReader.java
@@ -9,10 +9,10 @@
 import java.io.IOException;
 import trestlegrade.eventloop.MonotonicClock;
 
-/** Reads the body of a request within the bounds of its length and of memory, and rejects what is not readable. */
+/** Reads request bodies within the limits of length and memory, and rejects requests that cannot be read. */
 final class RequestReader {
 
-    /** Takes a request with its last byte. */
+    /** Called when the last byte of a request has been read. */
     interface Handler {
         void onRequest(HttpServerRequest request, ClientConnection connection, Buffer body);
     }
@@ -29,18 +29,18 @@
         this.handler = handler;
     }
 
-    /** Reads a request whose head has come, and hands it to the handler or rejects it. */
+    /** Reads a request whose head has been received, and passes it to the handler or rejects it. */
     void read(HttpServerRequest request, ClientConnection connection) {
         BodyMemoryBudget.Claim claim = memory.claim();
-        connection.requestBegun(request.response(), claim, clock.now());
+        connection.requestStarted(request.response(), claim, clock.now());
         Buffer body = Buffer.buffer();
         request.handler(part -> append(request, connection, claim, body, part));
-        request.exceptionHandler(cause -> connection.endWithIfUndecided(readFailure(cause)));
+        request.exceptionHandler(cause -> connection.setEndReasonIfAbsent(readFailureReason(cause)));
         request.endHandler(v -> {
             if (connection.isReading()) {
                 handler.onRequest(request, connection, body);
             } else {
-                // Rejected before its last byte, which has come now.
+                // The request was rejected before its last byte, which has now arrived.
                 connection.close(connection.endReason());
             }
         });
@@ -70,19 +70,19 @@
         }
     }
 
-    /** Vert.x has ended the connection: the client disconnected, or what it sent is no body. */
-    private static ConnectionEndReason readFailure(Throwable cause) {
+    /** Returns why Vert.x ended the connection: the client disconnected or sent a malformed body. */
+    private static ConnectionEndReason readFailureReason(Throwable cause) {
         return cause instanceof HttpClosedException || cause instanceof IOException
                 ? ConnectionEndReason.CLIENT_DISCONNECTED
                 : ConnectionEndReason.MALFORMED_REQUEST;
     }
 
-    /** Rejects a request whose head cannot be read. */
+    /** Rejects a request whose head cannot be parsed. */
     void rejectMalformedHead(HttpServerRequest request, ClientConnection connection) {
         Throwable cause = request.decoderResult().cause();
         if (cause instanceof PrematureChannelClosureException) {
-            // The client disconnected in the midst of the head: it is no malformed one, and gets no response.
-            connection.endWithIfUndecided(ConnectionEndReason.CLIENT_DISCONNECTED);
+            // The client disconnected in the middle of the head, so the head is not malformed and gets no response.
+            connection.setEndReasonIfAbsent(ConnectionEndReason.CLIENT_DISCONNECTED);
             return;
         }
         writer.reject(connection, request.response(), headRejection(cause));
--- a/sidecar/src/main/java/trestlegrade/inbound/ResponseWriter.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ResponseWriter.java
@@ -6,10 +6,10 @@
 import trestlegrade.eventloop.MonotonicClock;
 import trestlegrade.metrics.Counters;
 
-/** Writes responses to clients, and rejections, which end the connection: what follows on it is not reliable. */
+/** Writes responses to clients. A rejection also ends the connection, because further input on it is unreliable. */
 final class ResponseWriter {
     static final Buffer EMPTY_BODY = Buffer.buffer();
-    /** How long the rest of a rejected body is read; a client on the same machine sends 100 MB in that time. */
+    /** How long the rest of a rejected body is read. A client on the same machine can send 100 MB in this time. */
     private static final long DISCARD_BODY_MILLIS = 1_000;
 
     private final Vertx vertx;
@@ -22,24 +22,24 @@
         this.counters = counters;
     }
 
-    /** Writes a response, and closes the connection behind it if that was to end. */
+    /** Writes a response, and closes the connection after it if the connection is to end. */
     void respond(ClientConnection connection, HttpServerResponse response, int status, Buffer body) {
         connection.respond(response, status, body, clock.now());
     }
 
-    /** Rejects a request that has been read, or of which nothing more is wanted. */
+    /** Rejects a request that has been read completely or whose remaining input is not needed. */
     void reject(ClientConnection connection, HttpServerResponse response, Rejection rejection) {
-        connection.endWith(rejection.endReason(connection.endReason()));
+        connection.setEndReason(rejection.endReason(connection.endReason()));
         counters.rejected(rejection.status());
         respond(connection, response, rejection.status(), EMPTY_BODY);
     }
 
     /**
-     * Rejects a request while its body is being sent. The rest is read and dropped for a while: to close over unread
-     * bytes would reset the connection, and the client would lose the response.
+     * Rejects a request while its body is being sent. The rest is read and discarded for a while, because closing a
+     * socket with unread bytes would reset the connection and the client would lose the response.
      */
     void rejectUnread(ClientConnection connection, HttpServerResponse response, Rejection rejection) {
-        connection.endWith(rejection.endReason(connection.endReason()));
+        connection.setEndReason(rejection.endReason(connection.endReason()));
         counters.rejected(rejection.status());
         connection.send(response, rejection.status(), EMPTY_BODY, clock.now());
         vertx.setTimer(DISCARD_BODY_MILLIS, t -> connection.close(rejection.endReason(connection.endReason())));
--- a/sidecar/src/main/java/trestlegrade/inbound/StrictRequestDecoder.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/StrictRequestDecoder.java
@@ -15,24 +15,24 @@
 import trestlegrade.eventloop.MonotonicClock;
 
 /**
- * Vert.x's decoder of requests, which also rejects a request with both a Content-Length and a Transfer-Encoding, and
- * records when bytes came. Netty would drop the Content-Length and follow the chunks: whoever reads such a message the
- * other way finds a second request in the body of the first (request smuggling). Times are ticks of
+ * The request decoder of Vert.x, extended to reject requests that have both a Content-Length and a Transfer-Encoding
+ * and to record when bytes arrive. Netty would drop the Content-Length and decode the chunks. A recipient that uses the
+ * Content-Length instead would find a second request in the body of the first (request smuggling). Times are ticks of
  * {@link MonotonicClock}.
  */
 final class StrictRequestDecoder extends VertxHttpRequestDecoder {
-    private static final long NANOSECONDS_PER_TICK = 100_000;
-    /** From the accept to the first read of a request that was sent with the connect, on a loop that is on time. */
-    private static final long FIRST_READ_TICKS = 500;
+    private static final long NANOS_PER_TICK = 100_000;
+    /** The maximum delay from the accept to the read of an already sent request, if the event loop is on time. */
+    private static final long MAX_FIRST_READ_DELAY_TICKS = 500;
 
     private final MonotonicClock clock;
     private final long acceptedAt;
     private final long backlogTicks;
-    private PipeliningGate gate;
+    private PipeliningHandler pipeliningHandler;
     private LingeringClose lingeringClose;
     private boolean discardsInput;
     private boolean partial;
-    private long messageBegunAt;
+    private long messageStartedAt;
     private long lastReadAt;
 
     private StrictRequestDecoder(HttpServerOptions options, MonotonicClock clock, long backlogTicks) {
@@ -43,32 +43,32 @@
     }
 
     /**
-     * Puts a decoder, a {@link PipeliningGate} and a {@link LingeringClose} into the pipeline of a connection from
-     * which nothing has been read. {@code onOverflow} is called as {@link PipeliningGate} says.
+     * Installs a decoder, a {@link PipeliningHandler} and a {@link LingeringClose} in the pipeline of a connection from
+     * which nothing has been read. {@code onOverflow} is called as described in {@link PipeliningHandler}.
      */
     static StrictRequestDecoder install(
             HttpConnection connection,
             HttpServerOptions options,
             MonotonicClock clock,
             EventLoopLag lag,
-            PipeliningGate.TotalBytes totalBytes,
+            PipeliningHandler.TotalBytes totalBytes,
             Runnable onOverflow) {
         Channel channel =
                 ((HttpServerConnection) connection).channelHandlerContext().channel();
         StrictRequestDecoder decoder = new StrictRequestDecoder(options, clock, backlogTicks(channel, clock, lag));
-        decoder.gate = new PipeliningGate(decoder, clock, totalBytes, onOverflow);
+        decoder.pipeliningHandler = new PipeliningHandler(decoder, clock, totalBytes, onOverflow);
         decoder.lingeringClose = new LingeringClose(decoder, clock, lag);
         ChannelPipeline pipeline = channel.pipeline();
         pipeline.replace("httpDecoder", "httpDecoder", decoder);
-        pipeline.addBefore("handler", "gate", decoder.gate);
+        pipeline.addBefore("handler", "gate", decoder.pipeliningHandler);
         pipeline.addBefore("handler", "linger", decoder.lingeringClose);
         return decoder;
     }
 
     private static long backlogTicks(Channel channel, MonotonicClock clock, EventLoopLag lag) {
         long ticks =
-                channel instanceof InterruptibleSocketChannel own ? own.backlogNanoseconds() / NANOSECONDS_PER_TICK : 0;
-        // The client may have connected while the process stood still, before the listener saw that it had to wait.
+                channel instanceof InterruptibleSocketChannel accepted ? accepted.backlogNanos() / NANOS_PER_TICK : 0;
+        // The client may have connected during a stall, before the listener noticed that the client had to wait.
         return ticks > 0 ? ticks + lag.stalledAt(clock.now() - ticks) : 0;
     }
 
@@ -81,21 +81,21 @@
         }
         if (!partial) {
             partial = true;
-            messageBegunAt = lastReadAt;
+            messageStartedAt = lastReadAt;
         }
-        int before = out.size();
+        int sizeBefore = out.size();
         super.decode(context, bytes, out);
-        for (int i = before; i < out.size(); i++) {
+        for (int i = sizeBefore; i < out.size(); i++) {
             partial &= !(out.get(i) instanceof LastHttpContent);
         }
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
+        throw new IllegalArgumentException("request has both Content-Length and Transfer-Encoding");
     }
 
-    /** From now on what comes is read, so that the connection's end is seen, and dropped. */
+    /** Discards all further input. It is still read, so that the end of the connection is noticed. */
     void discardInput() {
         discardsInput = true;
     }
@@ -104,47 +104,47 @@
         return discardsInput;
     }
 
-    /** Whether a message has begun that is not complete. */
+    /** Whether a message has been received only partially. */
     boolean isPartial() {
         return partial;
     }
 
-    /** When the first bytes came of the message that is partial, or of the latest one. */
-    long messageBegunAt() {
-        return messageBegunAt;
+    /** When the first bytes of the partial message, or else of the latest message, arrived. */
+    long messageStartedAt() {
+        return messageStartedAt;
     }
 
-    /** When bytes last came; 0 before the first. */
+    /** When bytes last arrived; 0 before the first. */
     long lastReadAt() {
         return lastReadAt;
     }
 
-    /** Whether pipelined requests wait for the response to the request that was let through. */
+    /** Whether pipelined requests wait for the response to the forwarded request. */
     boolean hasPipelined() {
-        return gate.hasPipelined();
+        return pipeliningHandler.hasPipelined();
     }
 
-    /** When the last byte came of the request that was let through. */
+    /** When the last byte of the forwarded request arrived. */
     long receivedAt() {
-        return gate.receivedAt();
+        return pipeliningHandler.receivedAt();
     }
 
     /**
-     * How long the request that was let through may have waited before its connection was accepted. The time is known
-     * of the connection alone: it counts only for a request that was read right behind the accept.
+     * Returns how long the forwarded request may have waited before its connection was accepted. Only the wait of the
+     * connection is known, so it counts only for a request that was read directly after the accept.
      *
-     * @param lagTicks by how much the event loop may have been late with that read
+     * @param lagTicks the event loop lag that may have delayed that read
      */
     long backlogTicks(long lagTicks) {
-        return receivedAt() - acceptedAt <= FIRST_READ_TICKS + 2 * lagTicks ? backlogTicks : 0;
+        return receivedAt() - acceptedAt <= MAX_FIRST_READ_DELAY_TICKS + 2 * lagTicks ? backlogTicks : 0;
     }
 
-    /** Whether this side has closed the connection, and waits for the client's end. */
+    /** Whether this side has closed the connection and waits for the client to close it. */
     boolean isLingering() {
         return lingeringClose.isLingering();
     }
 
-    /** Closes the connection at once; what is still to be read or written is lost. */
+    /** Closes the connection immediately; data that is not yet read or written is lost. */
     void closeNow() {
         lingeringClose.closeNow();
     }
--- a/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
@@ -13,7 +13,7 @@
 import trestlegrade.policy.settings.PolicySettings.Profile;
 import trestlegrade.runtime.PolicyExecutor;
 
-/** Makes a transaction of a request that has been read, or rejects it, and hands the transaction to the policy. */
+/** Validates a request that has been read and either rejects it or passes it to the policy as a transaction. */
 final class TransactionAcceptor implements RequestReader.Handler {
     private static final int NO_CUSTOMER = -1;
 
@@ -49,7 +49,7 @@
         this.deadline = deadline;
     }
 
-    /** New settings, for requests that are read from now on. */
+    /** Applies new settings to requests that are read from now on. */
     void applyConfig(SidecarConfig applied) {
         config = applied;
         profiles = indexByName(applied.profiles());
@@ -60,7 +60,7 @@
         return openTraceIds;
     }
 
-    /** Its client has disconnected before the final response. */
+    /** Called when the client of a transaction has disconnected before the final response. */
     void clientDisconnected(InboundRequest transaction) {
         openTraceIds.remove(transaction.head.headers().get(ProtocolFields.TRACE_ID));
         executor.clientDisconnected(transaction);
@@ -83,7 +83,7 @@
             writer.reject(connection, request.response(), Rejection.MALFORMED_REQUEST);
         } else if (profile == null) {
             writer.reject(connection, request.response(), Rejection.UNKNOWN_PROFILE);
-        } else if (connection.endReason() != null && !connections.servesOnce(connection)) {
+        } else if (connection.endReason() != null && !connections.servesOneRequest(connection)) {
             writer.reject(connection, request.response(), Rejection.CONNECTION_ENDING);
         } else {
             RequestMetadata metadata = metadata(request, connection, profile, timeoutTicks);
@@ -92,7 +92,7 @@
         }
     }
 
-    /** {@code uri} is null if the target is no UTF-8. */
+    /** Returns the name of the profile. {@code uri} is null if the target is not valid UTF-8. */
     private static String profileName(HttpServerRequest request, String uri) {
         String named = HeaderRules.decodeUtf8(request.getHeader(ProtocolFields.PROFILE));
         return named != null ? named : HeaderRules.firstPathSegment(uri == null ? request.uri() : uri);
@@ -111,7 +111,7 @@
                 settings.idempotency() == Idempotency.IDEMPOTENT,
                 customers.getOrDefault(customer, NO_CUSTOMER),
                 HeaderRules.affinityKey(request.uri()),
-                deadline.of(connection, Math.min(timeoutTicks, settings.deadline())),
+                deadline.compute(connection, Math.min(timeoutTicks, settings.deadline())),
                 HeaderRules.costHintTicks(request.getHeader(ProtocolFields.COST_HINT)));
     }
 
@@ -131,10 +131,10 @@
         openTraceIds.add(traceId);
         counters.taken++;
         if (shutdown.isClosing()) {
-            connection.endWith(ConnectionEndReason.SHUTTING_DOWN);
+            connection.setEndReason(ConnectionEndReason.SHUTTING_DOWN);
         }
-        if (connection.transactionCount() == 1 && descriptors.clientWaitedLately()) {
-            // It may have waited in the backlog, and its client's end with it: that is read first.
+        if (connection.transactionCount() == 1 && descriptors.clientWaitedRecently()) {
+            // The request may have waited in the backlog together with its client's disconnect, which is read first.
             lag.afterReading(() -> executor.requestArrived(transaction));
         } else {
             executor.requestArrived(transaction);
--- a/sidecar/src/test/java/trestlegrade/inbound/BoundedTransportTest.java
+++ b/sidecar/src/test/java/trestlegrade/inbound/BoundedTransportTest.java
@@ -23,7 +23,7 @@
 import trestlegrade.integration.Await;
 import trestlegrade.metrics.Counters;
 
-/** The listener on a loop of the test's own, so that what meets there comes in the order that the test gives. */
+/** Tests the listener on an event loop that the test controls, so that concurrent events have a fixed order. */
 @Timeout(20)
 class BoundedTransportTest {
 
@@ -32,19 +32,19 @@
     }
 
     /**
-     * A client waits in the queue, for all descriptors are held. Between the last two looks of a listener that ends one
-     * comes free, and the loop has had no turn to let the client in.
+     * Guards against closing the listener while a client waits in the backlog. All descriptors are in use, and one is
+     * released between the last two polls of a closing listener, before the event loop could accept the client.
      */
-    @SuppressWarnings("try") // To close the client is what is tested.
+    @SuppressWarnings("try") // Closing the client early is part of the test.
     @Test
-    void whoWaitsIsLetInWhenADescriptorComesFreeBetweenTheLastLooks() throws Exception {
+    void waitingClientIsAcceptedIfADescriptorIsReleasedBetweenTheFinalPolls() throws Exception {
         DescriptorBudget descriptors = DescriptorBudget.forClients(64);
         for (int i = 0; i < descriptors.limit(); i++) {
             descriptors.acquire();
         }
         BoundedTransport transport = new BoundedTransport(descriptors, new Counters.Turns(), cause -> {});
         MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory());
-        CountDownLatch ended = new CountDownLatch(1);
+        CountDownLatch listenerClosed = new CountDownLatch(1);
         try (Socket client = new Socket()) {
             int port = ((InetSocketAddress) new ServerBootstrap()
                             .group(loops)
@@ -62,10 +62,10 @@
                     .getPort();
             client.setSoTimeout(5_000);
             client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-            Await.eventually(descriptors::clientWaitedLately);
+            Await.eventually(descriptors::clientWaitedRecently);
             EventLoop loop = loops.next();
             loop.execute(() -> {
-                // Due in one turn with the listener's two looks, and just before each.
+                // These tasks are due in the same event loop turns as the listener's two polls, directly before them.
                 loop.schedule(
                         () -> {
                             loop.schedule(descriptors::release, 1, TimeUnit.MILLISECONDS);
@@ -74,28 +74,32 @@
                         1,
                         TimeUnit.MILLISECONDS);
                 MonotonicClock clock = new MonotonicClock();
-                transport.closeListener(clock, clock.now() + 50_000, ended::countDown);
+                transport.closeListener(clock, clock.now() + 50_000, listenerClosed::countDown);
                 loop.execute(BoundedTransportTest::stall);
             });
             assertEquals(7, client.getInputStream().read());
-            // Its descriptor is still held, so whoever might wait is waited for; with its end the listener ends.
+            // The accepted client still uses its descriptor, so the listener stays open for clients that may wait. It
+            // closes once the client disconnects.
             client.close();
-            assertTrue(ended.await(10, TimeUnit.SECONDS));
+            assertTrue(listenerClosed.await(10, TimeUnit.SECONDS));
         } finally {
             loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
     }
 
-    /** The one that waited last took the last descriptor. Who comes long after that, and finds room, has not waited. */
+    /**
+     * Guards against a backlog time for a client that did not wait. The client that waited last took the last
+     * descriptor; the next one connects long after that, when a descriptor is available.
+     */
     @Test
-    void whoFindsRoomHasNotWaitedHoweverLongAgoOthersDid() throws Exception {
+    void clientAcceptedWithoutWaitingHasNoBacklogTime() throws Exception {
         DescriptorBudget descriptors = DescriptorBudget.forClients(64);
         for (int i = 0; i < descriptors.limit(); i++) {
             descriptors.acquire();
         }
         BoundedTransport transport = new BoundedTransport(descriptors, new Counters.Turns(), cause -> {});
         MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, transport.ioHandlerFactory());
-        BlockingQueue<InterruptibleSocketChannel> letIn = new LinkedBlockingQueue<>();
+        BlockingQueue<InterruptibleSocketChannel> acceptedChannels = new LinkedBlockingQueue<>();
         try (Socket first = new Socket();
                 Socket second = new Socket()) {
             InetSocketAddress address = (InetSocketAddress) new ServerBootstrap()
@@ -104,7 +108,7 @@
                     .childHandler(new ChannelInitializer<InterruptibleSocketChannel>() {
                         @Override
                         protected void initChannel(InterruptibleSocketChannel client) {
-                            letIn.add(client);
+                            acceptedChannels.add(client);
                         }
                     })
                     .bind(InetAddress.getLoopbackAddress(), 0)
@@ -112,15 +116,15 @@
                     .channel()
                     .localAddress();
             first.connect(address);
-            Await.eventually(descriptors::clientWaitedLately);
+            Await.eventually(descriptors::clientWaitedRecently);
             Await.pause(200);
             descriptors.release();
-            long waited = letIn.poll(5, TimeUnit.SECONDS).backlogNanoseconds();
-            assertTrue(waited >= 150_000_000, "waited " + waited);
+            long backlogNanos = acceptedChannels.poll(5, TimeUnit.SECONDS).backlogNanos();
+            assertTrue(backlogNanos >= 150_000_000, "backlogNanos " + backlogNanos);
             Await.pause(500);
             descriptors.release();
             second.connect(address);
-            assertEquals(0, letIn.poll(5, TimeUnit.SECONDS).backlogNanoseconds());
+            assertEquals(0, acceptedChannels.poll(5, TimeUnit.SECONDS).backlogNanos());
         } finally {
             loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
