--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -85,7 +85,8 @@
      */
     public void reload(PolicySettings settings, long seed, String zoneName) {
         events.submit(() -> {
-            PolicySettings zonedSettings = zoneName == null ? settings : settings.withZone(endpoints.zoneNumber(zoneName));
+            PolicySettings zonedSettings =
+                    zoneName == null ? settings : settings.withZone(endpoints.zoneNumber(zoneName));
             generations.replaceCurrent(new PolicyGeneration(this, zonedSettings, seed, lease));
             LoadBalancer loadBalancer = generations.current().loadBalancer();
             loadBalancer.start(events.now());
