--- a/sidecar/src/main/java/trestlegrade/policy/AttemptMonitor.java
+++ b/sidecar/src/main/java/trestlegrade/policy/AttemptMonitor.java
@@ -18,14 +18,16 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * Passes on what attempts show, when they are sent, when they end and at each tick, to every decision that learns from
- * it, in the order in which one builds on the other. Times are ticks of 0.1 ms.
+ * Feeds the start and end of attempts and the periodic ticks to all components that learn from them, in the order of
+ * their dependencies. Times are ticks of 0.1 ms.
  */
 final class AttemptMonitor {
-    /** Every second tick of the coarsest system clock in use; half the slack usual for final answers. */
+    /**
+     * 10 ms: two periods of the coarsest system clock in use, and half the usual tolerance for late final responses.
+     */
     static final long TICK_INTERVAL = 100;
-    /** Ticks that are left out while nothing is open are made up for, up to so many. */
-    private static final double MOST_PERIODS_MADE_UP = 20;
+    /** No ticks run while no transaction is open; the next tick accounts for at most this many skipped ones. */
+    private static final double MAX_ELAPSED_PERIODS = 20;
 
     private final FleetSummary fleet;
     private final LatencyEstimator latency;
@@ -52,7 +54,7 @@
         lastTickAt = now;
     }
 
-    /** An attempt is sent. */
+    /** Records that an attempt is sent. */
     void onSent(long now, Transaction transaction, Attempt attempt) {
         Endpoint endpoint = attempt.endpoint();
         endpoint.onSent(now, latency.work(transaction.profile(), transaction.costHint()), attempt.isProbe());
@@ -60,39 +62,42 @@
         silenceDetector.onSent(now, endpoint);
     }
 
-    /** An attempt has ended: what that tells of its endpoint, and of the wait. */
-    void onAttemptEnded(long now, Transaction transaction, Attempt attempt, long tookTicks) {
+    /** Records the end of an attempt; updates the statistics of its endpoint and of the expected wait. */
+    void onAttemptEnded(long now, Transaction transaction, Attempt attempt, long durationTicks) {
         Endpoint endpoint = attempt.endpoint();
         silenceDetector.onAttemptEnded(now, endpoint);
         endpoint.onAttemptEnded(now, attempt);
         if (!attempt.outcome().isUninformative()) {
-            learn(now, transaction, attempt, tookTicks);
+            updateEstimates(now, transaction, attempt, durationTicks);
         }
-        loadShedder.onAttemptEnded(now, attempt, tookTicks);
+        loadShedder.onAttemptEnded(now, attempt, durationTicks);
     }
 
-    private void learn(long now, Transaction transaction, Attempt attempt, long tookTicks) {
+    private void updateEstimates(long now, Transaction transaction, Attempt attempt, long durationTicks) {
         Endpoint endpoint = attempt.endpoint();
         AttemptOutcome outcome = attempt.outcome();
-        endpoint.calls().onAttemptEnded(now, transaction.profile(), attempt, tookTicks);
+        endpoint.calls().onAttemptEnded(now, transaction.profile(), attempt, durationTicks);
         if (outcome == AttemptOutcome.COMMITTED) {
             slowStartBudget.onCommitted(now, endpoint, transaction);
         }
         if (outcome == AttemptOutcome.COMMITTED || outcome == AttemptOutcome.TIMED_OUT) {
             dropRateGrader.onAnswer(now);
-            latency.onAnswer(transaction.profile(), transaction.costHint(), tookTicks);
+            latency.onAnswer(transaction.profile(), transaction.costHint(), durationTicks);
         }
         outlierEjection.onAttemptEnded(now, attempt, dropRateGrader.recentSpan());
     }
 
-    /** Silence first, since it tells which endpoints the wait is measured on; grades last. */
+    /**
+     * Runs the periodic updates. Silence is measured first, because it determines the endpoints from which the wait is
+     * estimated; drop rates are updated last.
+     */
     void onTick(long now, TransactionTable transactions) {
         silenceDetector.measure(now, transactions.open(), loadShedder.recentMeanTicks(now));
         outlierEjection.ejectSilent(now, silenceDetector.observed());
         silenceDetector.count(now, loadShedder.isJammed());
-        double periodsPassed = Math.min(MOST_PERIODS_MADE_UP, (double) Math.max(1, (now - lastTickAt) / TICK_INTERVAL));
-        loadShedder.onTick(now, silenceDetector, periodsPassed);
-        zoneAffinity.onTick(loadShedder.expectedWaitTicks(), loadShedder.leastPermittedWaitTicks(), periodsPassed);
+        double elapsedPeriods = Math.min(MAX_ELAPSED_PERIODS, (double) Math.max(1, (now - lastTickAt) / TICK_INTERVAL));
+        loadShedder.onTick(now, silenceDetector, elapsedPeriods);
+        zoneAffinity.onTick(loadShedder.expectedWaitTicks(), loadShedder.leastPermittedWaitTicks(), elapsedPeriods);
         lastTickAt = now;
         for (int steps = dropRateGrader.takeStepsDue(now); steps > 0; steps--) {
             dropRateGrader.step(now);
@@ -101,7 +106,7 @@
         }
     }
 
-    /** When the latest tick was, or the start. */
+    /** The time of the latest tick, or of the start if there was none. */
     long lastTickAt() {
         return lastTickAt;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/AttemptPlacer.java
+++ b/sidecar/src/main/java/trestlegrade/policy/AttemptPlacer.java
@@ -12,15 +12,21 @@
 import trestlegrade.policy.selection.RingLayout;
 import trestlegrade.policy.settings.PolicySettings;
 
-/** Places each attempt: at an ejected endpoint as a half-open probe, else where the {@link EndpointSelector} picks. */
+/**
+ * Chooses the endpoint of each attempt: an ejected endpoint if a half-open probe is due, otherwise the endpoint that
+ * the {@link EndpointSelector} selects.
+ */
 final class AttemptPlacer {
     private final AttemptMonitor monitor;
     private final HalfOpenProbes halfOpenProbes;
     private final RingLayout ringLayout;
     private final EndpointSelector endpointSelector;
 
-    /** A first attempt found no endpoint in this tick: the others are spared a search that would fail as well. */
-    private boolean noEndpointThisTick;
+    /**
+     * Set once a first attempt has found no endpoint. Further first attempts skip the search until waiting transactions
+     * are placed again, because it would fail as well.
+     */
+    private boolean noEndpointFound;
 
     AttemptPlacer(
             PolicySettings settings,
@@ -47,36 +53,36 @@
                 random);
     }
 
-    /** The endpoint list has changed. */
+    /** Takes over a change of the endpoint list. */
     void onEndpointUpdates() {
         ringLayout.onEndpointUpdates();
     }
 
-    /** What could not be placed is about to be tried again. */
-    void beforeWaitingPlacedAgain() {
-        noEndpointThisTick = false;
+    /** Must be called before waiting transactions are placed again. */
+    void beforeWaitingRetried() {
+        noEndpointFound = false;
     }
 
-    /** The transaction's next attempt, not sent yet, or null if no endpoint may take it now. */
+    /** Returns the transaction's next attempt, which is not sent yet, or null if no endpoint may take it now. */
     Attempt place(long now, Transaction transaction) {
         boolean first = !transaction.hasAttempts();
-        if (first && noEndpointThisTick) {
+        if (first && noEndpointFound) {
             return null;
         }
         Endpoint probed = halfOpenProbes.endpointToProbe(now, transaction);
         if (probed != null) {
-            return attempt(now, transaction, probed, true);
+            return newAttempt(now, transaction, probed, true);
         }
         ringLayout.refresh(monitor.lastTickAt());
         Endpoint selected = endpointSelector.select(now, transaction);
         if (selected != null) {
-            return attempt(now, transaction, selected, false);
+            return newAttempt(now, transaction, selected, false);
         }
-        noEndpointThisTick |= first;
+        noEndpointFound |= first;
         return null;
     }
 
-    private Attempt attempt(long now, Transaction transaction, Endpoint endpoint, boolean probe) {
+    private Attempt newAttempt(long now, Transaction transaction, Endpoint endpoint, boolean probe) {
         double expected = monitor.latency().expectedTicks(transaction.profile(), transaction.costHint());
         return new Attempt(endpoint, now, expected, probe);
     }
--- a/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
+++ b/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
@@ -19,13 +19,13 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * All decisions of one sidecar, step by step: where each transaction's attempts go, and when it is rejected. Each rule
- * stands in a class of its own; this one only calls them in order. What is decided is asked of the
- * {@link PolicyActions}. Does no I/O and reads no clock: times are ticks of 0.1 ms that the caller passes in and that
- * never go back. Not thread-safe.
+ * Makes all load-balancing decisions of one sidecar: the endpoint of each attempt, and the rejection of transactions.
+ * Each rule is implemented in a class of its own; this class calls them in order and requests the resulting actions
+ * from {@link PolicyActions}. Does no I/O and reads no clock: times are ticks of 0.1 ms that the caller passes in and
+ * that never decrease. Not thread-safe.
  */
 public final class LoadBalancer {
-    /** One second: about what a call of discovery takes. */
+    /** One second, which is about the duration of a call to discovery. */
     private static final long STALE_LIST_RETRY_AFTER_TICKS = 10_000;
 
     private static final long NOT_SCHEDULED = 0;
@@ -47,12 +47,12 @@
     private boolean tickScheduled;
     private long subscribeAt = NOT_SCHEDULED;
 
-    /** One whose endpoint list is always current. */
+    /** Creates a load balancer whose endpoint list never becomes stale. */
     public LoadBalancer(PolicySettings settings, long seed, PolicyActions actions) {
         this(settings, seed, actions, EndpointListLease.permanent());
     }
 
-    /** One that sends only as the lease allows; the lease is kept by the caller. */
+    /** Creates a load balancer that sends only while the lease permits it; the caller renews the lease. */
     public LoadBalancer(PolicySettings settings, long seed, PolicyActions actions, EndpointListLease lease) {
         this.settings = settings;
         this.actions = actions;
@@ -69,7 +69,7 @@
         closer = new TransactionCloser(settings, actions, transactions, retryPolicy, deadlinePolicy);
     }
 
-    /** Begins; to be called once, before all else. */
+    /** Starts the load balancer; must be called once, before any other method. */
     public void start(long now) {
         monitor.start(now);
         if (settings.listPolled()) {
@@ -78,10 +78,11 @@
     }
 
     /**
-     * The endpoint list, or a change of it.
+     * Applies the endpoint list or a change to it.
      *
-     * @param complete whether endpoints that are not named have left
-     * @param cached whether the list was known before (at the start or a reload), and says nothing of discovery now
+     * @param complete whether endpoints that are not in the updates have left
+     * @param cached whether the list was known before (at start or reload), so that it does not show that discovery is
+     *     reachable
      */
     public void onEndpointUpdates(long now, List<EndpointUpdate> updates, boolean complete, boolean cached) {
         if (!cached) {
@@ -92,23 +93,23 @@
         dispatchWaiting(now);
     }
 
-    /** A call for the list failed, or the subscription ended: it is made again after a backoff. */
+    /** Handles a failed call for the list or the end of the subscription: schedules another call after a backoff. */
     public void onEndpointListFailed(long now) {
         subscribeAt = now + discoveryBackoff.afterFailure();
         scheduleTick();
     }
 
     /**
-     * A transaction has arrived.
+     * Handles the arrival of a transaction.
      *
-     * @param customer index into the settings' customers, or any other number
-     * @param key what the endpoints cache by, 0 without one
-     * @param patienceTicks time until the deadline
-     * @param costHint the client's estimate of the work, 0 without one
+     * @param customer index into the settings' customers; any other number stands for an unknown customer
+     * @param key key by which the endpoints cache, or 0 if there is none
+     * @param timeoutTicks time until the deadline
+     * @param costHint the client's estimate of the work, or 0 if there is none
      */
-    public void onArrival(long now, long id, int profile, int customer, long key, long patienceTicks, long costHint) {
+    public void onArrival(long now, long id, int profile, int customer, long key, long timeoutTicks, long costHint) {
         Transaction transaction =
-                new Transaction(id, profile, fairShare.indexOf(customer), now, now + patienceTicks, costHint);
+                new Transaction(id, profile, fairShare.indexOf(customer), now, now + timeoutTicks, costHint);
         transaction.setKeyPosition(keyAffinity.onArrival(key));
         transactions.add(transaction);
         fairShare.onArrival(now, transaction);
@@ -118,8 +119,8 @@
     }
 
     /**
-     * The response of an attempt has begun to flow to the client: the deadline is met. Only the simulator calls this;
-     * on sockets a response is given whole.
+     * Handles the start of a response that is streamed to the client, which meets the deadline. Called only by the
+     * simulator, because the sidecar process forwards only complete responses.
      */
     public void onStreaming(long id, int attempt) {
         Transaction transaction = transactions.get(id);
@@ -129,36 +130,37 @@
     }
 
     /**
-     * An attempt has ended; ignored if it has ended before.
+     * Handles the end of an attempt; has no effect if that attempt has ended before.
      *
-     * @param answered whether no further answer is owed: this response was it, or the client has left
+     * @param closed whether the client gets no further response, because this attempt's response was the final one or
+     *     the client has disconnected
      */
     public void onAttemptEnded(
-            long now, long id, int number, AttemptOutcome outcome, long tookTicks, boolean answered) {
+            long now, long id, int number, AttemptOutcome outcome, long durationTicks, boolean closed) {
         Transaction transaction = transactions.get(id);
         Attempt attempt = transaction == null ? null : transaction.endAttempt(number, outcome);
         if (attempt == null) {
             return;
         }
-        if (answered) {
-            closer.markClosed(transaction);
+        if (closed) {
+            closer.close(transaction);
         }
-        monitor.onAttemptEnded(now, transaction, attempt, tookTicks);
+        monitor.onAttemptEnded(now, transaction, attempt, durationTicks);
         if (!transaction.isStreaming()) {
             dispatch(now, transaction);
         }
-        transactions.removeIfOver(transaction);
+        transactions.removeIfFinished(transaction);
     }
 
-    /** The client is gone: no answer is owed. */
+    /** Handles a client that has disconnected: its transaction needs no response. */
     public void onClientDisconnected(long now, long id) {
         Transaction transaction = transactions.get(id);
         if (transaction != null) {
-            closer.markClosed(transaction);
+            closer.close(transaction);
         }
     }
 
-    /** A tick that was asked for by {@link PolicyActions#scheduleTick}; an additional one does no harm. */
+    /** Runs a tick requested through {@link PolicyActions#scheduleTick}; additional calls are harmless. */
     public void onTick(long now) {
         tickScheduled = false;
         if (subscribeAt != NOT_SCHEDULED && now >= subscribeAt) {
@@ -168,28 +170,28 @@
         monitor.onTick(now, transactions);
         dispatchWaiting(now);
         closer.onTick(now);
-        // No tick while nothing is open: hundreds of idle sidecars cost nothing.
+        // An idle sidecar schedules no ticks, so that hundreds of idle sidecars use no CPU time.
         if (!transactions.isIdle() || subscribeAt != NOT_SCHEDULED) {
             scheduleTick();
         }
     }
 
-    /** Graceful shutdown: whatever is open has its final answer by then. */
+    /** Limits the deadline of every open transaction, for a graceful shutdown. */
     public void shutDownBy(long latestDeadline) {
         transactions.open().forEach(transaction -> transaction.limitDeadline(latestDeadline));
     }
 
-    /** Transactions that are not forgotten yet: those without an answer, and those with attempts in flight. */
+    /** Returns the number of transactions in memory: those that are open and those with an attempt in flight. */
     public int heldTransactions() {
         return transactions.size();
     }
 
-    /** What is known of an endpoint, or null if nothing is. */
+    /** Returns the endpoint with this id, or null if it is unknown. */
     public Endpoint endpoint(long id) {
         return endpoints.byId(id);
     }
 
-    /** The customers' quotas, for tests. */
+    /** Returns the quota tracking of the customers, for tests. */
     FairShare fairShare() {
         return fairShare;
     }
@@ -202,11 +204,11 @@
     }
 
     private void dispatchWaiting(long now) {
-        placer.beforeWaitingPlacedAgain();
+        placer.beforeWaitingRetried();
         transactions.takeWaiting().forEach(transaction -> dispatch(now, transaction));
     }
 
-    /** Sends the transaction's next attempt, keeps it until an endpoint may take it, or rejects it. */
+    /** Sends the transaction's next attempt, queues it until an endpoint may take it, or rejects it. */
     private void dispatch(long now, Transaction transaction) {
         if (transaction.isClosed()) {
             return;
@@ -229,7 +231,7 @@
     }
 
     private void send(long now, Transaction transaction, Attempt attempt) {
-        // Before addAttempt: an attempt in flight counts as adding work.
+        // Must precede addAttempt, because retryAddsWork() also counts an attempt in flight.
         if (transaction.retryAddsWork()) {
             retryBudget.onRetrySent();
         }
--- a/sidecar/src/main/java/trestlegrade/policy/PolicyActions.java
+++ b/sidecar/src/main/java/trestlegrade/policy/PolicyActions.java
@@ -3,34 +3,35 @@
 import trestlegrade.policy.request.RejectionReason;
 
 /**
- * What the decisions ask of whoever carries them out. Called on the thread that called the {@link LoadBalancer}, from
- * within that call. Transactions and endpoints go by the ids they came with; times are ticks of 0.1 ms.
+ * Actions that the {@link LoadBalancer} requests from its environment. Called on the thread that called the load
+ * balancer, from within that call. Transactions and endpoints are identified by the ids that the caller assigned; times
+ * are ticks of 0.1 ms.
  */
 public interface PolicyActions {
     /**
      * Starts the transaction's next attempt; attempts are numbered from 0 in the order of these calls.
      *
-     * @param timeoutTicks how long the attempt may take
-     * @param writeBefore the time from which an attempt that still waits for a connection must not be written
+     * @param timeoutTicks timeout of the attempt
+     * @param writeBefore the time from which an attempt must not be written any more if it still waits for a connection
      */
     void send(long transactionId, long endpointId, long timeoutTicks, long writeBefore);
 
-    /** Stops waiting for an attempt, whose end is then reported as any other. */
+    /** Cancels an attempt; its end is reported like that of any other attempt. */
     void cancel(long transactionId, int attempt);
 
     /**
-     * Final answer: the transaction has had no effect and may be tried again.
+     * Sends the final response that the transaction has had no effect and may be retried.
      *
-     * @param retryAfterTicks how long the client is asked to wait before it does, 0 to ask for nothing
+     * @param retryAfterTicks how long the client is asked to wait before it retries, or 0 to send no Retry-After
      */
     void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason);
 
-    /** Final answer: nothing is promised of the transaction's effect. */
+    /** Sends the final response that the transaction may or may not have had an effect. */
     void abandon(long transactionId, RejectionReason reason);
 
-    /** Asks for one call of {@link LoadBalancer#onTick} after the delay. */
+    /** Schedules one call of {@link LoadBalancer#onTick} after the delay. */
     void scheduleTick(long delayTicks);
 
-    /** Asks to be notified of changes to the endpoint list from now on. */
+    /** Subscribes to changes of the endpoint list. */
     void subscribe();
 }
--- a/sidecar/src/main/java/trestlegrade/policy/TransactionCloser.java
+++ b/sidecar/src/main/java/trestlegrade/policy/TransactionCloser.java
@@ -6,7 +6,7 @@
 import trestlegrade.policy.retry.RetryPolicy;
 import trestlegrade.policy.settings.PolicySettings;
 
-/** Gives transactions their final answer, once, and cancels attempts that are of no more use. */
+/** Closes each transaction with exactly one final response, and cancels attempts that are no longer useful. */
 final class TransactionCloser {
     private final PolicySettings settings;
     private final PolicyActions actions;
@@ -27,12 +27,12 @@
         this.deadlinePolicy = deadlinePolicy;
     }
 
-    /** Rejects a transaction for which nothing more is tried: at once, so that the client can turn elsewhere. */
+    /** Rejects a transaction without a Retry-After, so that the client can retry elsewhere at once. */
     void reject(Transaction transaction, RejectionReason reason) {
         reject(transaction, reason, 0);
     }
 
-    /** Rejects a transaction and asks the client to wait before it tries again, as far as the settings allow. */
+    /** Rejects a transaction and asks the client to wait before it retries, as far as the settings permit. */
     void reject(Transaction transaction, RejectionReason reason, long retryAfterTicks) {
         if (retryPolicy.mayRollBack(transaction)) {
             long retryAfter =
@@ -41,11 +41,11 @@
         } else {
             actions.abandon(transaction.id(), reason);
         }
-        markClosed(transaction);
+        close(transaction);
     }
 
-    /** Marks the transaction as answered, and cancels what is in flight; does nothing the second time. */
-    void markClosed(Transaction transaction) {
+    /** Closes the transaction and cancels its attempt in flight; has no effect on a closed transaction. */
+    void close(Transaction transaction) {
         if (transaction.isClosed()) {
             return;
         }
@@ -53,10 +53,13 @@
         if (settings.cancellationAllowed() && transaction.attemptsInFlight() > 0) {
             cancelLastAttempt(transaction);
         }
-        transactions.removeIfOver(transaction);
+        transactions.removeIfFinished(transaction);
     }
 
-    /** At each tick: rejects what is overdue, and cancels attempts that are lost, whose ends bring retries. */
+    /**
+     * Rejects transactions whose deadline has passed, and cancels lost attempts. The end of a cancelled attempt
+     * triggers the retry.
+     */
     void onTick(long now) {
         transactions.retainOpen(transaction -> {
             if (!transaction.isClosed() && deadlinePolicy.isOverdue(now, transaction)) {
--- a/sidecar/src/main/java/trestlegrade/policy/TransactionTable.java
+++ b/sidecar/src/main/java/trestlegrade/policy/TransactionTable.java
@@ -8,8 +8,8 @@
 import trestlegrade.policy.request.Transaction;
 
 /**
- * The transactions that one sidecar holds: each until it has its final answer and no attempt is in flight. Those
- * without an answer are listed in order of arrival.
+ * The transactions of one sidecar, each kept until it has its final response and no attempt is in flight. Those without
+ * a final response, the open ones, are listed in order of arrival.
  */
 final class TransactionTable {
     private final LongObjectHashMap<Transaction> byId = new LongObjectHashMap<>();
@@ -22,41 +22,44 @@
         open.add(transaction);
     }
 
-    /** The transaction of that id, or null once it is over. */
+    /** Returns the transaction with this id, or null if it has finished. */
     Transaction get(long id) {
         return byId.get(id);
     }
 
-    /** Forgets a transaction that is over; called wherever an answer is given or an attempt ends. */
-    void removeIfOver(Transaction transaction) {
-        if (transaction.isOver()) {
+    /** Removes a transaction that has finished; called whenever a transaction is closed or an attempt ends. */
+    void removeIfFinished(Transaction transaction) {
+        if (transaction.isFinished()) {
             byId.remove(transaction.id());
         }
     }
 
-    /** Those without an answer, and answered ones since the last {@link #retainOpen}; a view. */
+    /**
+     * Returns a read-only view of the open transactions, which may include some that were closed since the last
+     * {@link #retainOpen}.
+     */
     List<Transaction> open() {
         return openView;
     }
 
-    /** Visits all that are open, in order, and keeps those for which the visitor returns true. */
-    void retainOpen(Predicate<Transaction> visitor) {
+    /** Calls the predicate on all open transactions, in order, and retains those for which it returns true. */
+    void retainOpen(Predicate<Transaction> predicate) {
         int kept = 0;
         for (int i = 0; i < open.size(); i++) {
             Transaction transaction = open.get(i);
-            if (visitor.test(transaction)) {
+            if (predicate.test(transaction)) {
                 open.set(kept++, transaction);
             }
         }
         open.subList(kept, open.size()).clear();
     }
 
-    /** Keeps a transaction until an endpoint may take it. */
+    /** Queues a transaction until an endpoint may take it. */
     void addWaiting(Transaction transaction) {
         waiting.add(transaction);
     }
 
-    /** Takes all that wait for an endpoint, in order; they may be added again. */
+    /** Removes and returns all transactions that wait for an endpoint, in order; they may be added again. */
     List<Transaction> takeWaiting() {
         List<Transaction> taken = waiting;
         waiting = new ArrayList<>();
--- a/sidecar/src/main/java/trestlegrade/policy/lease/EndpointListLease.java
+++ b/sidecar/src/main/java/trestlegrade/policy/lease/EndpointListLease.java
@@ -1,97 +1,104 @@
 package trestlegrade.policy.lease;
 
 /**
- * The lease under which a sidecar sends to the endpoints of its list. Not thread-safe: it belongs to the event loop.
+ * The lease under which a sidecar sends to the endpoints of its list. Not thread-safe: confined to the event loop.
  *
- * <p>Guards against sending to an endpoint that drains or has left. While discovery is silent, an endpoint may drain
- * without this sidecar being notified, and counts as notified a fixed time later all the same. Each message of
- * discovery renews the lease; without one it expires by itself, before the grace of an endpoint that began to drain
- * unnoticed can end. How often discovery is polled plays no part. Of failed calls only a refused connection renews it
- * ({@link #discoveryUnreachable}): while nothing listens there, no change can count as notified.
+ * <p>Guards against sending to an endpoint that is draining or has left. While discovery is silent, an endpoint may
+ * begin to drain without this sidecar being notified; a fixed time later the change counts as notified nevertheless.
+ * Each message from discovery renews the lease. Without messages the lease expires before the drain grace of an
+ * endpoint that began to drain unnoticed can end. The poll interval of discovery has no influence. Of failed calls,
+ * only a refused connection renews the lease ({@link #discoveryUnreachable}), because no change can count as notified
+ * while nothing listens at discovery's address.
  *
- * <p>A draining endpoint rejects new requests, so one that served a request was not draining when that was sent. From
- * then on each endpoint has a lease of its own, which lets a sidecar do without discovery as long as endpoints serve.
+ * <p>A draining endpoint rejects new requests, so an endpoint that served a request was not draining when that request
+ * was sent. Each endpoint therefore has a lease of its own from that time on, which lets a sidecar work without
+ * discovery as long as the endpoints serve requests.
  *
- * <p>Times are ticks (tenths of a millisecond) of a clock that does not step.
+ * <p>Times are ticks (tenths of a millisecond) of a monotonic clock.
  */
 public final class EndpointListLease {
-    /** Stands for the send time of an endpoint that has served nothing yet. */
+    /** The {@code servedAt} of an endpoint that has served no request yet. */
     public static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** A change counts as notified 6 s after discovery had it and could be reached, whether or not it arrived. */
-    static final long NOTIFICATION_TICKS = 60_000;
-    /** After a change of discovery's address, all that it has counts as notified 4 s later. */
-    static final long NOTIFICATION_AFTER_MOVE_TICKS = 40_000;
-    /** Part of the grace that is kept back, since a process may be held up between a decision and the write. */
-    static final long HOLD_UP_MARGIN_TICKS = 3_000;
-    /** At least this fraction (one in so many) of a short grace is used all the same. */
+    /** A change counts as notified 6 s after discovery had it and was reachable, whether or not it arrived. */
+    static final long NOTIFICATION_DELAY_TICKS = 60_000;
+    /** After a change of discovery's address, every change that discovery has counts as notified 4 s later. */
+    static final long NOTIFICATION_DELAY_AFTER_MOVE_TICKS = 40_000;
+    /** Part of the grace that is not used, because the process may stall between a decision and the socket write. */
+    static final long STALL_MARGIN_TICKS = 3_000;
+    /** At least 1/3 of the grace is used even if the stall margin would leave less of a short grace. */
     static final int MIN_GRACE_DIVISOR = 3;
 
     private static final long FOREVER = Long.MAX_VALUE / 2;
 
     private long drainGraceTicks;
-    /** The earliest time at which a change that is not known here may count as notified. */
-    private long notifiedFrom;
-    /** How long after a change it may count as notified, at the earliest. */
-    private long notificationTicks = NOTIFICATION_TICKS;
+    /** The earliest time at which a change that is unknown to this sidecar may count as notified. */
+    private long earliestNotificationAt;
+    /** The minimum time after which a change may count as notified. */
+    private long notificationDelayTicks = NOTIFICATION_DELAY_TICKS;
 
     /**
-     * Begins with a list that was confirmed at the time given.
+     * Creates a lease of a list that was confirmed at the given time.
      *
-     * @param drainGraceTicks how long a draining endpoint may still be sent to once its drain counts as notified
+     * @param drainGraceTicks how long requests may still be sent to a draining endpoint after its draining counts as
+     *     notified
      */
     public EndpointListLease(long confirmedAt, long drainGraceTicks) {
-        notifiedFrom = confirmedAt + NOTIFICATION_TICKS;
+        earliestNotificationAt = confirmedAt + NOTIFICATION_DELAY_TICKS;
         setDrainGrace(drainGraceTicks);
     }
 
-    /** Returns a lease that never expires, for lists that arrive without a watch. */
+    /** Returns a lease that never expires, for lists that are delivered without a watch. */
     public static EndpointListLease permanent() {
         return new EndpointListLease(FOREVER, 0);
     }
 
-    /** Adopts new settings for how long a draining endpoint may be sent to. */
+    /** Sets how long requests may still be sent to a draining endpoint after its draining counts as notified. */
     public void setDrainGrace(long newDrainGraceTicks) {
         drainGraceTicks = newDrainGraceTicks;
     }
 
-    /** Renews the lease: discovery was heard at this time and had nothing that is not known here. */
-    public void renew(long heardAt) {
-        notifiedFrom = Math.max(notifiedFrom, heardAt + NOTIFICATION_TICKS);
-        notificationTicks = NOTIFICATION_TICKS;
+    /** Renews the lease: at the given time discovery had no change that is unknown to this sidecar. */
+    public void renew(long confirmedAt) {
+        earliestNotificationAt = Math.max(earliestNotificationAt, confirmedAt + NOTIFICATION_DELAY_TICKS);
+        notificationDelayTicks = NOTIFICATION_DELAY_TICKS;
     }
 
     /**
-     * Nothing listened at discovery's address at this time: what it has can count as notified only after its return.
+     * Renews the lease because nothing listened at discovery's address at the given time: its changes can count as
+     * notified only after it is reachable again.
      */
     public void discoveryUnreachable(long at) {
         renew(at);
     }
 
-    /** Discovery is watched at another address from now on, and has not been heard there yet. */
+    /** Shortens the lease because discovery's address has changed and no message has arrived from there yet. */
     public void discoveryMoved(long now) {
-        notifiedFrom = Math.min(notifiedFrom, now + NOTIFICATION_AFTER_MOVE_TICKS);
-        notificationTicks = NOTIFICATION_AFTER_MOVE_TICKS;
+        earliestNotificationAt = Math.min(earliestNotificationAt, now + NOTIFICATION_DELAY_AFTER_MOVE_TICKS);
+        notificationDelayTicks = NOTIFICATION_DELAY_AFTER_MOVE_TICKS;
     }
 
-    /** Lists are pushed and their watch has ended: what the agent learns from now on counts as notified at once. */
+    /**
+     * Shortens the lease because the watch on the agent that pushes lists has ended: each change that the agent learns
+     * of from now on counts as notified at once.
+     */
     public void pushWatchEnded(long now) {
-        notifiedFrom = Math.min(notifiedFrom, now);
-        notificationTicks = 0;
+        earliestNotificationAt = Math.min(earliestNotificationAt, now);
+        notificationDelayTicks = 0;
     }
 
-    /** Returns whether every endpoint of the list may be sent to. */
+    /** Returns whether requests may be sent to every endpoint of the list. */
     public boolean isValid(long now) {
         return now < expiresAt(NEVER);
     }
 
     /**
-     * Returns the time before which an endpoint must be sent to.
+     * Returns the time before which a request to an endpoint must be written.
      *
-     * @param servedAt when the latest request that the endpoint served was sent, or {@link #NEVER}
+     * @param servedAt send time of the latest request that the endpoint served, or {@link #NEVER}
      */
     public long expiresAt(long servedAt) {
-        long usableGrace = Math.max(drainGraceTicks - HOLD_UP_MARGIN_TICKS, drainGraceTicks / MIN_GRACE_DIVISOR);
-        return Math.max(notifiedFrom, servedAt + notificationTicks) + usableGrace;
+        long usableGrace = Math.max(drainGraceTicks - STALL_MARGIN_TICKS, drainGraceTicks / MIN_GRACE_DIVISOR);
+        return Math.max(earliestNotificationAt, servedAt + notificationDelayTicks) + usableGrace;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/request/Attempt.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/Attempt.java
@@ -4,8 +4,11 @@
 
 /** One attempt of a transaction at one endpoint. Times are ticks of 0.1 ms. */
 public final class Attempt {
-    /** With heavy tails one attempt in a hundred takes ten times as long, and a second's mean would go by it. */
-    private static final double LONGEST_COUNTED = 3;
+    /**
+     * With heavy-tailed latencies one attempt in a hundred takes ten times as long as the others and would dominate the
+     * mean of a second.
+     */
+    private static final double MAX_EXPECTED_MULTIPLE = 3;
 
     private final Endpoint endpoint;
     private final long sentAt;
@@ -14,9 +17,9 @@
     private AttemptOutcome outcome;
 
     /**
-     * Begins an attempt.
+     * Creates an attempt that is in flight.
      *
-     * @param expectedTicks how long it was expected to take when it was sent
+     * @param expectedTicks expected duration at the time of sending
      * @param probe whether it is a half-open probe of an ejected endpoint
      */
     public Attempt(Endpoint endpoint, long sentAt, double expectedTicks, boolean probe) {
@@ -26,42 +29,42 @@
         this.probe = probe;
     }
 
-    /** The endpoint that it was sent to. */
+    /** Returns the endpoint that the attempt was sent to. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** When it was sent. */
+    /** Returns the send time. */
     public long sentAt() {
         return sentAt;
     }
 
-    /** How long it was expected to take when it was sent. */
+    /** Returns the expected duration at the time of sending. */
     public double expectedTicks() {
         return expectedTicks;
     }
 
-    /** For how long an attempt of this age or latency counts in a mean: three times the expected at the most. */
+    /** Returns this age or duration for use in a mean, capped at three times the expected duration. */
     public double cappedTicks(long ticks) {
-        return Math.min((double) ticks, LONGEST_COUNTED * expectedTicks);
+        return Math.min((double) ticks, MAX_EXPECTED_MULTIPLE * expectedTicks);
     }
 
-    /** Whether it is a half-open probe of an ejected endpoint. */
+    /** Returns whether this is a half-open probe of an ejected endpoint. */
     public boolean isProbe() {
         return probe;
     }
 
-    /** How it ended, or null while it is in flight. */
+    /** Returns how the attempt ended, or null while it is in flight. */
     public AttemptOutcome outcome() {
         return outcome;
     }
 
-    /** Whether it has not ended yet. */
+    /** Returns whether the attempt has not ended yet. */
     public boolean inFlight() {
         return outcome == null;
     }
 
-    void end(AttemptOutcome with) {
-        outcome = with;
+    void end(AttemptOutcome finalOutcome) {
+        outcome = finalOutcome;
     }
 }
--- a/sidecar/src/main/java/trestlegrade/policy/request/AttemptOutcome.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/AttemptOutcome.java
@@ -1,22 +1,25 @@
 package trestlegrade.policy.request;
 
-/** How an attempt ended, and whether that proves that the endpoint never ran the transaction. */
+/** How an attempt ended, and whether the outcome proves that the endpoint never executed the transaction. */
 public enum AttemptOutcome {
     /** Status 200. */
     COMMITTED(false),
     /** Any other complete response. */
     ERROR(false),
-    /** 503 or 504 with X-Never-Ran: 1: the endpoint rejected it unprocessed. */
+    /** Status 503 or 504 with {@code X-Never-Ran: 1}: the endpoint rejected the request without processing it. */
     REJECTED(true),
-    /** No complete response in time; it was written. */
+    /** The request was written, but no complete response arrived in time. */
     TIMED_OUT(false),
-    /** The connection failed, timed out or broke before the last byte was written. */
+    /** Connecting failed or timed out, or the connection broke before the last byte of the request was written. */
     NO_CONNECTION(true),
-    /** The connection broke before the response was complete. */
+    /** The connection broke after the request was written and before the response was complete. */
     BROKEN(false),
     /** Cancelled by this sidecar. */
     CANCELLED(false),
-    /** Given up by this sidecar before it was written: client gone, no descriptor, endpoint draining, lease over. */
+    /**
+     * Not written by this sidecar, because the client disconnected, no file descriptor was free, the endpoint was
+     * draining, or the lease had expired.
+     */
     NOT_SENT(true);
 
     private final boolean neverRan;
@@ -25,17 +28,17 @@
         this.neverRan = neverRan;
     }
 
-    /** Whether the endpoint certainly did not run the transaction. */
+    /** Returns whether the endpoint certainly did not execute the transaction. */
     public boolean neverRan() {
         return neverRan;
     }
 
-    /** Whether the attempt cost the endpoint work: it was reached, as far as is known. */
+    /** Returns whether the attempt reached the endpoint, as far as is known, and so caused work there. */
     public boolean reachedEndpoint() {
         return this != NO_CONNECTION && this != NOT_SENT;
     }
 
-    /** Whether this sidecar ended the attempt before it could tell anything of the endpoint. */
+    /** Returns whether this sidecar ended the attempt before it could provide information about the endpoint. */
     public boolean isUninformative() {
         return this == CANCELLED || this == NOT_SENT;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/request/Transaction.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/Transaction.java
@@ -5,33 +5,33 @@
 import trestlegrade.policy.endpoint.Endpoint;
 
 /**
- * One transaction from its arrival until its last attempt has ended. Times are ticks of 0.1 ms; at most one attempt is
- * in flight, and that is the last one.
+ * One transaction, from its arrival until its last attempt has ended. At most one attempt is in flight, and it is the
+ * last one. Times are ticks of 0.1 ms.
  */
 public final class Transaction {
-    /** The key position of a transaction without a key. */
+    /** The ring position of a transaction without a key. */
     public static final long NO_KEY_POSITION = -1;
 
-    private static final int USUAL_ATTEMPTS = 3;
+    private static final int EXPECTED_ATTEMPTS = 3;
 
     private final long id;
     private final int profile;
     private final int customer;
     private final long arrivedAt;
     private final long costHint;
-    private final List<Attempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+    private final List<Attempt> attempts = new ArrayList<>(EXPECTED_ATTEMPTS);
     private long deadline;
     private long keyPosition = NO_KEY_POSITION;
     private int attemptsInFlight;
-    private boolean answered;
+    private boolean closed;
     private boolean streaming;
 
     /**
-     * Begins with no attempt.
+     * Creates a transaction without attempts.
      *
      * @param profile index into the settings' profiles
-     * @param customer index into the settings' customers, or their number for all that are not named there
-     * @param costHint the client's estimate of its work, 0 if it gave none
+     * @param customer index into the settings' customers, or the size of that list for a customer that is not in it
+     * @param costHint the client's estimate of the work, or 0 if there is none
      */
     public Transaction(long id, int profile, int customer, long arrivedAt, long deadline, long costHint) {
         this.id = id;
@@ -42,103 +42,103 @@
         this.costHint = costHint;
     }
 
-    /** The id that the caller gave it. */
+    /** Returns the id that the caller assigned. */
     public long id() {
         return id;
     }
 
-    /** Index into the settings' profiles. */
+    /** Returns the index into the settings' profiles. */
     public int profile() {
         return profile;
     }
 
-    /** Index into the settings' customers; their number for all that are not named there. */
+    /** Returns the index into the settings' customers, or the size of that list for a customer that is not in it. */
     public int customer() {
         return customer;
     }
 
-    /** When it arrived. */
+    /** Returns the time of arrival. */
     public long arrivedAt() {
         return arrivedAt;
     }
 
-    /** When it must have its final answer. */
+    /** Returns the time by which the final response must be given. */
     public long deadline() {
         return deadline;
     }
 
-    /** The client's estimate of its work, 0 if it gave none. */
+    /** Returns the client's estimate of the work, or 0 if there is none. */
     public long costHint() {
         return costHint;
     }
 
-    /** Brings the deadline forward; a later one changes nothing. */
+    /** Moves the deadline to the given time if that is earlier. */
     public void limitDeadline(long latest) {
         deadline = Math.min(deadline, latest);
     }
 
-    /** The ring position of its key, or {@link #NO_KEY_POSITION}. */
+    /** Returns the ring position of the key, or {@link #NO_KEY_POSITION}. */
     public long keyPosition() {
         return keyPosition;
     }
 
-    /** Sets the ring position of its key. */
+    /** Sets the ring position of the key, or {@link #NO_KEY_POSITION}. */
     public void setKeyPosition(long position) {
         keyPosition = position;
     }
 
-    /** Its attempts in the order in which they were sent. */
+    /** Returns the attempts in the order in which they were sent. */
     public List<Attempt> attempts() {
         return attempts;
     }
 
-    /** Whether any attempt has been sent. */
+    /** Returns whether any attempt has been sent. */
     public boolean hasAttempts() {
         return !attempts.isEmpty();
     }
 
-    /** The latest attempt; there must be one. */
+    /** Returns the latest attempt; there must be at least one. */
     public Attempt lastAttempt() {
         return attempts.get(attempts.size() - 1);
     }
 
-    /** Number of its attempts in flight: 0 or 1. */
+    /** Returns the number of attempts in flight, which is 0 or 1. */
     public int attemptsInFlight() {
         return attemptsInFlight;
     }
 
-    /** Whether its final answer has been given, or its client has disconnected. */
+    /** Returns whether the final response has been given or the client has disconnected. */
     public boolean isClosed() {
-        return answered;
+        return closed;
     }
 
-    /** Marks it as answered. */
+    /** Marks the transaction as closed. */
     public void markClosed() {
-        answered = true;
+        closed = true;
     }
 
-    /** Whether the response has begun to flow to the client. */
+    /** Returns whether a response is being streamed to the client. */
     public boolean isStreaming() {
         return streaming;
     }
 
-    /** Marks it as streaming. */
+    /** Marks the transaction as streaming. */
     public void markStreaming() {
         streaming = true;
     }
 
-    /** Whether nothing more can happen to it. */
-    public boolean isOver() {
-        return answered && attemptsInFlight == 0;
+    /** Returns whether the transaction is closed and has no attempt in flight. */
+    public boolean isFinished() {
+        return closed && attemptsInFlight == 0;
     }
 
-    /** Adds an attempt that is now in flight. */
+    /** Adds an attempt, which is in flight from now on. */
     public void addAttempt(Attempt attempt) {
         attempts.add(attempt);
         attemptsInFlight++;
     }
 
-    /** Ends an attempt: the attempt, or null if there is none of that number in flight. */
+    /** Ends the attempt with this number and returns it, or null if no such attempt is in flight. */
     public Attempt endAttempt(int number, AttemptOutcome outcome) {
         if (number >= attempts.size() || !attempts.get(number).inFlight()) {
             return null;
@@ -149,7 +149,7 @@
         return attempt;
     }
 
-    /** Whether an attempt was sent to this endpoint. */
+    /** Returns whether an attempt was sent to this endpoint. */
     public boolean wasSentTo(Endpoint endpoint) {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).endpoint() == endpoint) {
@@ -159,7 +159,7 @@
         return false;
     }
 
-    /** Whether an earlier attempt reached an endpoint, so that a retry adds to the endpoints' work. */
+    /** Returns whether an earlier attempt reached an endpoint, so that a retry adds to the work of the endpoints. */
     public boolean retryAddsWork() {
         for (int i = 0; i < attempts.size(); i++) {
             AttemptOutcome outcome = attempts.get(i).outcome();
@@ -170,7 +170,7 @@
         return false;
     }
 
-    /** The first attempt that ran or may have run (one in flight may run), or null. */
+    /** Returns the first attempt that was or may have been executed, including one in flight, or null. */
     public Attempt firstPossiblyExecutedAttempt() {
         for (int i = 0; i < attempts.size(); i++) {
             AttemptOutcome outcome = attempts.get(i).outcome();
--- a/sidecar/src/main/java/trestlegrade/policy/settings/PolicySettings.java
+++ b/sidecar/src/main/java/trestlegrade/policy/settings/PolicySettings.java
@@ -3,28 +3,30 @@
 import java.util.List;
 
 /**
- * What the decisions read of the settings of one sidecar. All times are ticks (tenths of a millisecond).
+ * The settings of one sidecar that its load-balancing decisions depend on. All times are ticks (tenths of a
+ * millisecond).
  *
- * @param profiles the classes of request, in the order of their numbers; at least one
- * @param customers the customers with a share, in the order of their numbers; empty if there are none
- * @param fleetSize size of this sidecar's fleet, at least 1
- * @param maxAttempts attempts a transaction may have in all, at least 1
+ * @param profiles the request classes, by number; at least one
+ * @param customers the customers that have a quota, by number; may be empty
+ * @param fleetSize number of sidecars in the fleet, at least 1
+ * @param maxAttempts maximum number of attempts for each transaction, at least 1
  * @param cancellationAllowed whether an attempt in flight may be cancelled
  * @param retryAfterAllowed whether a rejection may carry a Retry-After
  * @param maxRetryAfterTicks the longest Retry-After that clients observe
- * @param listPolled true if changes of the endpoint list come only by watch or poll, false if they are pushed
+ * @param listPolled true if changes of the endpoint list arrive only by watch or poll, false if they are pushed
  * @param maxPollIntervalTicks the longest time without a poll of discovery before the list counts as stale
  * @param weights what the weights in the endpoint list measure
- * @param keyAffinity whether an endpoint serves a key that it served recently with less work
- * @param zone the local zone's number
- * @param sidecarIndex this sidecar's number within its fleet, from 0
- * @param crossZoneCost cost of a cross-zone attempt, as a fraction of the worth of a first attempt
- * @param connectionCost cost of open connections; 0 if they are free
- * @param worstProfileWeight weight of the worst profile relative to that of the whole, at most 1
- * @param slowStartInitialFraction fraction of its capacity that an endpoint has at its start, at least
- * @param slowStartTicks time after its start by which an endpoint has all of its capacity (end of slow start)
- * @param crashMultiple multiple of its present capacity at which an endpoint in slow start crashes
- * @param crashTicks time for which that multiple must last before it crashes
+ * @param keyAffinity whether an endpoint needs less work for a key that it served recently
+ * @param zone number of the local availability zone
+ * @param sidecarIndex number of this sidecar within its fleet, from 0
+ * @param crossZoneCost cost of a cross-zone attempt, as a fraction of the value of a first attempt
+ * @param connectionCost cost of open connections, or 0 if they are free
+ * @param worstProfileWeight weight of the worst profile in the service goal relative to the weight of the whole, at
+ *     most 1
+ * @param slowStartInitialFraction minimum fraction of its capacity that an endpoint has when it starts
+ * @param slowStartTicks time after its start at which an endpoint has its full capacity (end of slow start)
+ * @param crashMultiple load, as a multiple of its current capacity, at which an endpoint in slow start crashes
+ * @param crashTicks time for which that load must last before the endpoint crashes
  */
 public record PolicySettings(
         List<Profile> profiles,
@@ -48,7 +50,7 @@
         double crashMultiple,
         long crashTicks) {
 
-    /** Returns the same settings with the local zone's number in another numbering of zones. */
+    /** Returns a copy with another number of the local zone, for use with another numbering of the zones. */
     public PolicySettings withZone(int index) {
         return new PolicySettings(
                 profiles,
@@ -75,27 +77,29 @@
 
     /** What the weights in the endpoint list measure. */
     public enum Weights {
-        /** Nothing: all weights are equal. */
+        /** All weights are equal and carry no information. */
         NONE,
         /** The size of the endpoint, exact or approximate. */
         SIZE,
-        /** The size of the endpoint, lowered by the requests that it had in flight some time ago. */
+        /** The size of the endpoint, reduced according to the requests that it had in flight some time ago. */
         LIVE
     }
 
-    /** Idempotency of a profile: what a second execution of one transaction may do. */
+    /** Idempotency of a profile: the effect of executing a transaction more than once. */
     public enum Idempotency {
-        /** Harmless: attempts and rejections are free. */
+        /** Harmless: a transaction may be sent again, and rejected as having had no effect, at any time. */
         IDEMPOTENT,
-        /** Harmless within a group of endpoints and a time, which deduplicate by idempotency key. */
+        /**
+         * Harmless within a group of endpoints and a time window, where the endpoints deduplicate by idempotency key.
+         */
         IDEMPOTENT_BY_KEY,
-        /** A fault: a further attempt only if no earlier one can have been executed. */
+        /** Forbidden: a further attempt is sent only if no earlier one can have been executed. */
         NON_IDEMPOTENT
     }
 
     /**
-     * Deduplication scope of a profile that is idempotent by key: which endpoints know the idempotency keys that one
-     * has seen.
+     * Deduplication scope of a profile that is idempotent by key: the endpoints that share the idempotency keys seen by
+     * any one of them.
      */
     public enum DeduplicationScope {
         /** All endpoints. */
@@ -107,15 +111,16 @@
     }
 
     /**
-     * One class of request.
+     * One request class.
      *
-     * @param latencyObjectiveTicks the latency objective: an answer within it earns the full revenue
-     * @param deadlineTicks the time that a client waits, over all of its retries
-     * @param priorityWeight worth of a request served, in any unit common to all profiles
-     * @param idempotency idempotency
-     * @param deduplicationScope deduplication scope; {@link DeduplicationScope#ALL} unless idempotent by key
-     * @param deduplicationWindowTicks how long idempotency keys are kept, from the send of the first attempt that may
-     *     have been executed; 0 unless idempotent by key
+     * @param latencyObjectiveTicks the latency objective; a response within it earns the full revenue
+     * @param deadlineTicks how long a client waits in total, including all retries
+     * @param priorityWeight value of a served request, in any unit that is common to all profiles
+     * @param idempotency effect of a repeated execution
+     * @param deduplicationScope endpoints that deduplicate together; {@link DeduplicationScope#ALL} unless idempotent
+     *     by key
+     * @param deduplicationWindowTicks how long idempotency keys are kept, counted from the sending of the first attempt
+     *     that may have been executed; 0 unless idempotent by key
      */
     public record Profile(
             long latencyObjectiveTicks,
@@ -128,7 +133,7 @@
     /**
      * One customer.
      *
-     * @param share its part of the service, from 0 to 1
+     * @param share its quota as a fraction of the service, from 0 to 1
      */
     public record Customer(double share) {}
 }
--- a/sidecar/src/test/java/trestlegrade/policy/EndpointUpdatesTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/EndpointUpdatesTest.java
@@ -15,44 +15,50 @@
 import trestlegrade.policy.request.AttemptOutcome;
 import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
-/** The endpoint list: draining (rule 3), restarts, and how it is asked for. */
+/** Tests updates of the endpoint list: draining, departures, restarts, and the calls for the list. */
 class EndpointUpdatesTest {
 
-    /** Endpoints that come and go all day: what has left is forgotten, and passes nothing on to who comes next. */
+    /**
+     * Endpoints join and leave continually. The state of an endpoint that has left is removed, and an endpoint that
+     * takes its place in the table does not inherit its failures or ejection.
+     */
     @Test
-    void goneEndpointIsForgottenAndPassesNothingOn() {
+    void stateOfGoneEndpointIsRemovedAndNotInherited() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         harness.runTraffic(50_000, 100, AttemptOutcome.ERROR, 100);
         assertTrue(harness.loadBalancer.endpoint(100).ejection().isEjected());
         harness.arrive(0);
-        SentAttempt out = harness.lastAttempt();
+        SentAttempt inFlight = harness.lastAttempt();
         for (int i = 0; i < 1_000; i++) {
-            long old = i == 0 ? out.endpointId() : 200 + i - 1;
-            harness.update(old, State.GONE, 0);
+            long previous = i == 0 ? inFlight.endpointId() : 200 + i - 1;
+            harness.update(previous, State.GONE, 0);
             harness.runTraffic(200, -1, null, 0);
             harness.update(200 + i, State.READY, 0);
             assertFalse(harness.loadBalancer.endpoint(200 + i).ejection().isEjected());
             assertEquals(0, harness.loadBalancer.endpoint(200 + i).calls().consecutiveFailures());
-            // An attempt in flight keeps its endpoint apart until it ends.
-            assertTrue(i >= 9 || harness.loadBalancer.endpoint(out.endpointId()) != null, "generation " + i);
+            // An attempt in flight keeps the state of its endpoint until it ends.
+            assertTrue(i >= 9 || harness.loadBalancer.endpoint(inFlight.endpointId()) != null, "generation " + i);
             assertTrue(i < 20 || harness.loadBalancer.endpoint(200 + i - 20) == null, "generation " + i);
             assertTrue(
                     harness.loadBalancer.endpoint(200 + i).index() <= 11,
-                    "place " + harness.loadBalancer.endpoint(200 + i).index());
+                    "index " + harness.loadBalancer.endpoint(200 + i).index());
             if (i == 8) {
-                harness.endAttempt(out, AttemptOutcome.ERROR, 100);
+                harness.endAttempt(inFlight, AttemptOutcome.ERROR, 100);
             }
         }
         assertEquals(0, harness.loadBalancer.endpoint(1_199).calls().consecutiveFailures());
     }
 
-    /** The clock here stepped back by an hour: an endpoint that starts is cold from now on, and warm in its time. */
+    /**
+     * If the local clock stepped back by an hour, the start of an endpoint lies in the future. Its slow start then
+     * begins now, once, and is not restarted by further updates with the same start time.
+     */
     @Test
     void startInTheFutureCountsAsNow() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         harness.update(100, State.READY, harness.now + 36_000_000);
         assertEquals(harness.now, harness.loadBalancer.endpoint(100).slowStart().since());
-        // Told once more, it has not started again.
+        // A repeated update with the same start time is not a restart.
         long started = harness.now;
         harness.advance(50_000);
         harness.update(100, State.READY, started + 36_000_000);
@@ -60,19 +66,19 @@
         assertEquals(0, harness.loadBalancer.endpoint(101).slowStart().since());
     }
 
-    /** Nothing new from the moment the sidecar is told, further attempts included. */
+    /** From the notification on, a draining or gone endpoint gets no attempt, not even a retry. */
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone", "missing"})
-    void nothingNewGoesToDrainingOrGoneEndpoints(String how) {
+    void drainingOrGoneEndpointsGetNoNewAttempts(String change) {
         PolicyHarness harness = new PolicyHarness(DeduplicationScope.ALL, 3).fleet(State.READY, 0);
         harness.arrive(1);
-        if (how.equals("missing")) {
+        if (change.equals("missing")) {
             harness.loadBalancer.onEndpointUpdates(
                     harness.now, List.of(new EndpointUpdate(105, 1, 0, 2, State.READY, 1, 0)), true, false);
         } else {
             for (long id = 100; id < 110; id++) {
                 if (id != 105) {
-                    harness.update(id, how.equals("gone") ? State.GONE : State.DRAINING, 0);
+                    harness.update(id, change.equals("gone") ? State.GONE : State.DRAINING, 0);
                 }
             }
         }
@@ -86,9 +92,9 @@
         assertTrue(harness.sent.stream().skip(before).allMatch(s -> s.endpointId() == 105));
     }
 
-    /** A failed call for the list is made again, later each time and never too late. */
+    /** A failed call for the list is retried within 7.5 s, however many calls failed before. */
     @Test
-    void failedListCallIsRepeatedLaterEachTime() {
+    void failedListCallIsRetriedOnceWithinItsBound() {
         PolicyHarness harness = new PolicyHarness();
         assertEquals(1, harness.subscriptions);
         for (int i = 0; i < 10; i++) {
@@ -99,14 +105,15 @@
     }
 
     /**
-     * What discovery has counts as told 6 s after it can be reached again, however long the settings leave for asking.
+     * Changes count as notified 6 s after discovery is reachable again, so a failed call is retried within 2.76 s,
+     * however long a poll interval the settings permit.
      */
     @ParameterizedTest
     @ValueSource(ints = {10_000, 60_000})
-    void listCallIsRepeatedWithinTheNotificationTime(int askWithin) {
+    void listCallIsRetriedWithinTheNotificationDelay(int maxPollIntervalMillis) {
         for (int seed = 0; seed < 50; seed++) {
             PolicyHarness harness =
-                    new PolicyHarness(seed, DeduplicationScope.CELL, 3, "safety.ask_within=" + askWithin);
+                    new PolicyHarness(seed, DeduplicationScope.CELL, 3, "safety.ask_within=" + maxPollIntervalMillis);
             for (int i = 0; i < 12; i++) {
                 harness.loadBalancer.onEndpointListFailed(harness.now);
                 int before = harness.subscriptions;
@@ -116,10 +123,14 @@
         }
     }
 
-    /** Discovery serves in turn and a call waits 2 s at the most: what a hundred ask of it while it fails. */
+    /**
+     * Discovery serves calls one after the other, and each call times out after 2 s. A hundred sidecars whose calls
+     * fail together must not retry more often than it can serve: fewer than 25 calls a second once the backoff has
+     * grown.
+     */
     @Test
-    void sidecarsThatFailTogetherAskSeldomAndApart() {
-        int[] asked = new int[30];
+    void retriesOfManySidecarsStayBelowTheRateOfDiscovery() {
+        int[] callsPerSecond = new int[30];
         for (int seed = 0; seed < 100; seed++) {
             PolicyHarness harness = new PolicyHarness(seed);
             for (long failed = harness.now; failed - 1_000_000 < 300_000; failed = harness.now + 20_000) {
@@ -129,10 +140,10 @@
                 while (harness.subscriptions == before) {
                     harness.advance(100);
                 }
-                asked[(int) Math.min(29, (harness.now - 1_000_000) / 10_000)]++;
+                callsPerSecond[(int) Math.min(29, (harness.now - 1_000_000) / 10_000)]++;
             }
         }
-        int later = Arrays.stream(asked).skip(9).limit(20).sum();
-        assertTrue(later < 20 * 25, later + " in twenty seconds");
+        int laterCalls = Arrays.stream(callsPerSecond).skip(9).limit(20).sum();
+        assertTrue(laterCalls < 20 * 25, laterCalls + " calls in twenty seconds");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/policy/FinalResponseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/FinalResponseTest.java
@@ -15,13 +15,13 @@
 import trestlegrade.policy.request.AttemptOutcome;
 import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
-/** Rule 1: one final answer for each transaction, and nothing kept after it. */
+/** Each transaction gets exactly one final response, and its state is removed afterwards. */
 class FinalResponseTest {
 
-    /** However it is given up, nothing of a transaction is held once it has its answer and no attempt is out. */
+    /** Whatever the cause of a rejection, the transaction is removed once no attempt is in flight. */
     @ParameterizedTest
     @ValueSource(strings = {"DRAINING", "COLD", "FAILED"})
-    void rejectedTransactionIsForgotten(String cause) {
+    void rejectedTransactionIsRemoved(String cause) {
         PolicyHarness harness = new PolicyHarness().fleet(cause.equals("DRAINING") ? State.DRAINING : State.READY, 0);
         for (int i = 0; i < 1_000; i++) {
             harness.arrive(i % 3);
@@ -50,7 +50,7 @@
         "2, ,              ABANDONED",
         "0, ,              ROLLED_BACK",
     })
-    void oneFinalAnswerAtTheDeadline(int profile, AttemptOutcome outcome, Rejection expected) {
+    void oneFinalResponseAtTheDeadline(int profile, AttemptOutcome outcome, Rejection expected) {
         PolicyHarness harness = new PolicyHarness(DeduplicationScope.CELL, 1).fleet(State.READY, 0);
         long id = harness.arrive(profile);
         SentAttempt attempt = harness.lastAttempt();
@@ -68,10 +68,10 @@
     }
 
     @Test
-    void noAnswerOnceTheClientHasLeftOrHasIts() {
+    void noFinalResponseAfterDisconnectOrCommit() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
-        long left = harness.arrive(0);
-        harness.loadBalancer.onClientDisconnected(harness.now, left);
+        long disconnected = harness.arrive(0);
+        harness.loadBalancer.onClientDisconnected(harness.now, disconnected);
         harness.endAttempt(harness.lastAttempt(), AttemptOutcome.ERROR, 100);
         harness.arrive(2);
         harness.endAttempt(harness.lastAttempt(), AttemptOutcome.COMMITTED, 100);
@@ -79,13 +79,13 @@
         harness.advance(20_000);
         assertEquals(2, harness.sent.size());
         assertEquals(List.of(), harness.finalResponses);
-        assertEquals(List.of(left), harness.cancelled);
+        assertEquals(List.of(disconnected), harness.cancelled);
     }
 
-    /** With no endpoint a transaction waits a little for one and is then rolled back, not kept to its end. */
+    /** A transaction without an available endpoint waits briefly and is then rolled back well before its deadline. */
     @ParameterizedTest
     @ValueSource(strings = {"none", "draining", "later"})
-    void withoutEndpointATransactionWaitsALittleAndIsRolledBack(String list) {
+    void transactionWithoutEndpointIsRolledBackAfterAShortWait(String list) {
         PolicyHarness harness = new PolicyHarness();
         if (list.equals("draining")) {
             harness.fleet(State.DRAINING, 0);
@@ -102,9 +102,9 @@
         assertEquals(List.of(FinalResponse.rolledBack(id)), harness.finalResponses);
     }
 
-    /** A burst on a fleet that is cold as a whole: most wait in vain, and each gets one answer all the same. */
+    /** In a burst on a fleet that is cold as a whole most transactions find no endpoint; each gets one response. */
     @Test
-    void burstOnAColdFleetIsAnswered() {
+    void eachTransactionOfABurstOnAColdFleetGetsOneResponse() {
         PolicyHarness harness = new PolicyHarness();
         harness.fleet(State.READY, harness.now);
         for (int i = 0; i < 100; i++) {
--- a/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
+++ b/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
@@ -13,9 +13,9 @@
 import trestlegrade.policy.request.RejectionReason;
 import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
-/** A sidecar's decisions with a fleet of ten endpoints (ids 100 to 109), whose answers the test gives by hand. */
+/** A load balancer with a fleet of ten endpoints (ids 100 to 109) whose responses are supplied by the test. */
 public final class PolicyHarness implements PolicyActions {
-    /** An attempt that the decisions sent; attempts of a transaction are numbered from 0. */
+    /** An attempt that the load balancer sent; attempts of a transaction are numbered from 0. */
     public record SentAttempt(long transactionId, long endpointId, long timeoutTicks, int number) {}
 
     /** How a transaction was rejected. */
@@ -24,14 +24,14 @@
         ABANDONED
     }
 
-    /** A final answer that the decisions gave without an endpoint's response. */
+    /** A final response that the load balancer gave itself, by rejecting the transaction. */
     public record FinalResponse(Rejection rejection, long transactionId) {
-        /** It has had no effect. */
+        /** Returns the final response that the transaction has had no effect. */
         public static FinalResponse rolledBack(long transactionId) {
             return new FinalResponse(Rejection.ROLLED_BACK, transactionId);
         }
 
-        /** Nothing is promised of its effect. */
+        /** Returns the final response that the transaction may or may not have had an effect. */
         public static FinalResponse abandoned(long transactionId) {
             return new FinalResponse(Rejection.ABANDONED, transactionId);
         }
@@ -42,35 +42,40 @@
     public final List<FinalResponse> finalResponses = new ArrayList<>();
     public final List<RejectionReason> rejectionReasons = new ArrayList<>();
     final List<Long> cancelled = new ArrayList<>();
-    private final List<SentAttempt> out = new ArrayList<>();
-    private final Map<SentAttempt, Long> due = new HashMap<>();
-    private final Map<Long, Integer> attempts = new HashMap<>();
+    private final List<SentAttempt> inFlight = new ArrayList<>();
+    private final Map<SentAttempt, Long> dueAt = new HashMap<>();
+    private final Map<Long, Integer> attemptCounts = new HashMap<>();
     int subscriptions;
     public long now = 1_000_000;
     long nextTransactionId = 1;
     public final LoadBalancer loadBalancer;
 
-    /** Profiles 0 idempotent, 1 journalled, 2 non-idempotent; goal 0.5 s, deadline 1 s; and further settings. */
-    public PolicyHarness(DeduplicationScope group, int maxAttempts, String... further) {
-        this(7, group, maxAttempts, further);
+    /**
+     * Creates a harness with the profiles 0 (idempotent), 1 (idempotent by key) and 2 (non-idempotent), each with a
+     * latency objective of 0.5 s and a deadline of 1 s.
+     *
+     * @param extraSettings further settings as lines of {@code path=value}
+     */
+    public PolicyHarness(DeduplicationScope scope, int maxAttempts, String... extraSettings) {
+        this(7, scope, maxAttempts, extraSettings);
     }
 
-    /** One of several that differ by chance alone. */
+    /** Creates one of several harnesses that differ only in their random numbers. */
     public PolicyHarness(long seed) {
         this(seed, DeduplicationScope.CELL, 3);
     }
 
-    public PolicyHarness(long seed, DeduplicationScope group, int maxAttempts, String... further) {
-        this(seed, EndpointListLease.permanent(), group, maxAttempts, further);
+    public PolicyHarness(long seed, DeduplicationScope scope, int maxAttempts, String... extraSettings) {
+        this(seed, EndpointListLease.permanent(), scope, maxAttempts, extraSettings);
     }
 
-    /** One that sends by a list as long as the lease holds. */
-    public PolicyHarness(EndpointListLease lease, DeduplicationScope group, int maxAttempts) {
-        this(7, lease, group, maxAttempts);
+    /** Creates a harness that sends only while the lease permits it. */
+    public PolicyHarness(EndpointListLease lease, DeduplicationScope scope, int maxAttempts) {
+        this(7, lease, scope, maxAttempts);
     }
 
     private PolicyHarness(
-            long seed, EndpointListLease lease, DeduplicationScope group, int maxAttempts, String... further) {
+            long seed, EndpointListLease lease, DeduplicationScope scope, int maxAttempts, String... extraSettings) {
         StringBuilder settings = new StringBuilder("""
                 n_instances=4
                 ceilings.cancelling=true
@@ -88,22 +93,25 @@
                 .append(maxAttempts)
                 .append('\n');
         for (int i = 0; i < 3; i++) {
-            String at = "profiles." + i + ".";
-            settings.append(at + "service_goal=500\n" + at + "hard_limit=1000\n" + at + "revenue=" + (1 + i) + "\n"
-                    + at + "effect=" + List.of("repeatable", "by_key", "once").get(i) + "\n"
-                    + at + "group=" + group.name().toLowerCase(Locale.ROOT) + "\n" + at + "dedup_window=2000\n");
+            String prefix = "profiles." + i + ".";
+            settings.append(
+                    prefix + "service_goal=500\n" + prefix + "hard_limit=1000\n" + prefix + "revenue=" + (1 + i) + "\n"
+                            + prefix + "effect="
+                            + List.of("repeatable", "by_key", "once").get(i) + "\n"
+                            + prefix + "group=" + scope.name().toLowerCase(Locale.ROOT) + "\n" + prefix
+                            + "dedup_window=2000\n");
         }
-        settings.append(String.join("\n", further));
+        settings.append(String.join("\n", extraSettings));
         loadBalancer = new LoadBalancer(
                 PolicySettingsReader.ofLines(settings.toString()).read(), seed, this, lease);
         loadBalancer.start(now);
     }
 
-    public PolicyHarness(String... further) {
-        this(DeduplicationScope.CELL, 3, further);
+    public PolicyHarness(String... extraSettings) {
+        this(DeduplicationScope.CELL, 3, extraSettings);
     }
 
-    /** Endpoints in two zones and five cells of two, all in the state and with the start given. */
+    /** Adds ten endpoints in two zones and five cells of two, all with the given state and start time. */
     public PolicyHarness fleet(State state, long launched) {
         for (int i = 0; i < 10; i++) {
             update(100 + i, state, launched);
@@ -122,35 +130,41 @@
         return nextTransactionId++;
     }
 
-    /** When an attempt was sent, by its place among all. */
-    long sentAt(int place) {
-        return place < sentAt.size() ? sentAt.get(place) : Long.MAX_VALUE;
+    /** Returns when the attempt with this index in {@link #sent} was sent, or a time in the far future. */
+    long sentAt(int index) {
+        return index < sentAt.size() ? sentAt.get(index) : Long.MAX_VALUE;
     }
 
     public SentAttempt lastAttempt() {
         return sent.get(sent.size() - 1);
     }
 
-    public void endAttempt(SentAttempt attempt, AttemptOutcome outcome, long took) {
+    public void endAttempt(SentAttempt attempt, AttemptOutcome outcome, long durationTicks) {
         loadBalancer.onAttemptEnded(
-                now, attempt.transactionId(), attempt.number(), outcome, took, outcome == AttemptOutcome.COMMITTED);
+                now,
+                attempt.transactionId(),
+                attempt.number(),
+                outcome,
+                durationTicks,
+                outcome == AttemptOutcome.COMMITTED);
     }
 
-    public void advance(long span) {
-        for (long end = now + span; now < end; ) {
+    public void advance(long ticks) {
+        for (long end = now + ticks; now < end; ) {
             now += 100;
             loadBalancer.onTick(now);
         }
     }
 
     /**
-     * Sends steady idempotent traffic, one every 2 ms; an endpoint takes 20 ms, the outlier what
-     * {@code outlierTookTicks} says with {@code outlierOutcome}, or never answers if that is null. Returns how many
-     * attempts the outlier one got.
+     * Sends steady idempotent traffic, one transaction every 2 ms. Endpoints respond after 20 ms, the outlier after
+     * {@code outlierDurationTicks} with {@code outlierOutcome}, or never if that is null.
+     *
+     * @return the number of attempts that were sent to the outlier
      */
-    public int runTraffic(long span, long outlier, AttemptOutcome outlierOutcome, long outlierTookTicks) {
+    public int runTraffic(long ticks, long outlier, AttemptOutcome outlierOutcome, long outlierDurationTicks) {
         int first = sent.size();
-        for (long end = now + span; now < end; ) {
+        for (long end = now + ticks; now < end; ) {
             now += 20;
             if (now % 100 == 0) {
                 loadBalancer.onTick(now);
@@ -160,17 +174,17 @@
             for (int i = before; i < sent.size(); i++) {
                 boolean atOutlier = sent.get(i).endpointId() == outlier;
                 if (!atOutlier || outlierOutcome != null) {
-                    due.put(sent.get(i), now + (atOutlier ? outlierTookTicks : 200));
-                    out.add(sent.get(i));
+                    dueAt.put(sent.get(i), now + (atOutlier ? outlierDurationTicks : 200));
+                    inFlight.add(sent.get(i));
                 }
             }
-            for (SentAttempt each : List.copyOf(out)) {
-                if (due.get(each) <= now) {
-                    out.remove(each);
+            for (SentAttempt each : List.copyOf(inFlight)) {
+                if (dueAt.get(each) <= now) {
+                    inFlight.remove(each);
                     boolean atOutlier = each.endpointId() == outlier;
                     AttemptOutcome outcome = atOutlier ? outlierOutcome : AttemptOutcome.COMMITTED;
                     if (outcome != null) {
-                        endAttempt(each, outcome, atOutlier ? outlierTookTicks : 200);
+                        endAttempt(each, outcome, atOutlier ? outlierDurationTicks : 200);
                     }
                 }
             }
@@ -183,7 +197,7 @@
     public void send(long transactionId, long endpointId, long timeoutTicks, long writeBefore) {
         sentAt.add(now);
         sent.add(new SentAttempt(
-                transactionId, endpointId, timeoutTicks, attempts.merge(transactionId, 1, Integer::sum) - 1));
+                transactionId, endpointId, timeoutTicks, attemptCounts.merge(transactionId, 1, Integer::sum) - 1));
     }
 
     @Override
--- a/sidecar/src/test/java/trestlegrade/policy/TraceScenario.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TraceScenario.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.function.LongToDoubleFunction;
 
-/** One kind of day of the decision trace: its settings, its load, and the fault that comes back every half minute. */
+/** One scenario of the decision trace: its settings, its load, and the fault that is injected every half minute. */
 record TraceScenario(
         String name,
         int sidecars,
@@ -12,131 +12,134 @@
         LongToDoubleFunction load,
         boolean liveWeights,
         boolean clientsRetry,
-        List<String> further,
+        List<String> extraSettings,
         Fault fault) {
 
-    /** What goes wrong, six seconds into each half minute; it ends by itself fourteen seconds later. */
+    /** A fault that begins six seconds into each half minute and ends fourteen seconds later. */
     interface Fault {
-        void begin(TracedFleet fleet);
+        void inject(TracedFleet fleet);
     }
 
-    private static final Fault NONE = TracedFleet::leaveAlone;
+    private static final Fault NONE = TracedFleet::injectNothing;
     private static final Fault SLOW = fleet -> {
-        fleet.endpoint(fleet.random().nextInt(fleet.size())).slowness = 6;
-        fleet.endpoint(fleet.random().nextInt(fleet.size())).slowness = 2;
+        fleet.endpoint(fleet.random().nextInt(fleet.size())).latencyFactor = 6;
+        fleet.endpoint(fleet.random().nextInt(fleet.size())).latencyFactor = 2;
     };
     private static final Fault SILENT = fleet -> {
         for (int i = 0; i < fleet.size(); i += 4) {
             fleet.endpoint(i).silent = true;
         }
     };
-    private static final Fault DRAINS = fleet -> {
+    private static final Fault DRAINING = fleet -> {
         for (int i = 0; i < 3; i++) {
             fleet.endpoint(fleet.random().nextInt(fleet.size())).drain();
         }
     };
-    private static final Fault FAILING = fleet -> {
-        fleet.endpoint(fleet.random().nextInt(fleet.size())).failing = 0.6;
+    private static final Fault FAILURES = fleet -> {
+        fleet.endpoint(fleet.random().nextInt(fleet.size())).errorRate = 0.6;
         fleet.endpoint(fleet.random().nextInt(fleet.size())).failingProfile = 1;
-        fleet.endpoint(fleet.random().nextInt(fleet.size())).refusing = true;
+        fleet.endpoint(fleet.random().nextInt(fleet.size())).rejecting = true;
     };
-    private static final Fault RESTART = fleet -> {
+    private static final Fault RESTARTS = fleet -> {
         for (int i = 0; i < fleet.size(); i++) {
             fleet.endpoint(i).restart();
         }
         fleet.restartSidecar(1);
     };
-    private static final Fault DISCOVERY_GONE = fleet -> {
-        fleet.loseDiscovery(fleet.random().nextBoolean());
-        DRAINS.begin(fleet);
+    private static final Fault DISCOVERY_DISCONNECTED = fleet -> {
+        fleet.disconnectDiscovery(fleet.random().nextBoolean());
+        DRAINING.inject(fleet);
     };
-    private static final Fault ENDING = fleet -> {
-        SILENT.begin(fleet);
-        fleet.endSidecarsBy(2_000);
+    private static final Fault SHUTDOWN = fleet -> {
+        SILENT.inject(fleet);
+        fleet.shutDownSidecarsWithin(2_000);
     };
-    private static final Fault ALL = fleet -> {
-        SLOW.begin(fleet);
-        FAILING.begin(fleet);
-        DRAINS.begin(fleet);
-        SILENT.begin(fleet);
+    private static final Fault COMBINED = fleet -> {
+        SLOW.inject(fleet);
+        FAILURES.inject(fleet);
+        DRAINING.inject(fleet);
+        SILENT.inject(fleet);
     };
 
-    private static final Fault ENDING_LATE = fleet -> {
-        SILENT.begin(fleet);
-        fleet.endSidecarsLater(1_000, 500);
+    private static final Fault DELAYED_SHUTDOWN = fleet -> {
+        SILENT.inject(fleet);
+        fleet.shutDownSidecarsAfter(1_000, 500);
     };
-    private static final Fault ALL_STALE = fleet -> {
-        fleet.loseDiscovery(true);
+    private static final Fault STALE_LIST_AND_FAILURES = fleet -> {
+        fleet.disconnectDiscovery(true);
         fleet.failWatches();
         for (int i = 0; i < fleet.size(); i++) {
-            fleet.endpoint(i).failing = 1;
+            fleet.endpoint(i).errorRate = 1;
         }
     };
 
     @SuppressWarnings("UnnecessaryLambda")
-    private static final LongToDoubleFunction STEADY = second -> 150;
+    private static final LongToDoubleFunction STEADY_LOAD = second -> 150;
 
     @SuppressWarnings("UnnecessaryLambda")
-    private static final LongToDoubleFunction FEW = second -> 12;
+    private static final LongToDoubleFunction LOW_LOAD = second -> 12;
 
     @SuppressWarnings("UnnecessaryLambda")
-    private static final LongToDoubleFunction SURGE = second -> second > 5 && second < 18 ? 900 : 150;
+    private static final LongToDoubleFunction LOAD_PEAK = second -> second > 5 && second < 18 ? 900 : 150;
 
     @SuppressWarnings("UnnecessaryLambda")
-    private static final LongToDoubleFunction MORNING = second -> second < 9 ? 60 : 0.3;
+    private static final LongToDoubleFunction BUSY_THEN_IDLE = second -> second < 9 ? 60 : 0.3;
 
     @SuppressWarnings("UnnecessaryLambda")
     private static final LongToDoubleFunction BURSTS = second -> second % 7 < 4 ? 900 : 2;
 
-    private static final List<String> TIGHT_GOALS =
+    private static final List<String> SHORT_LATENCY_OBJECTIVES =
             List.of("profiles.0.service_goal=30", "profiles.1.service_goal=40", "profiles.2.service_goal=50");
-    private static final List<String> EVEN_CUSTOMERS =
+    private static final List<String> TWO_CUSTOMERS =
             List.of("tenants.count=2", "tenants.0.share=0.69", "tenants.1.share=0.31");
     private static final List<String> MANY_SIDECARS = List.of("fees.connection=0.1", "n_instances=4000");
-    private static final List<String> SHORT_WINDOWS = List.of(
+    private static final List<String> SHORT_DEDUPLICATION_WINDOWS = List.of(
             "profiles.0.dedup_window=150",
             "profiles.1.dedup_window=150",
             "profiles.2.dedup_window=150",
             "profiles.0.effect=by_key",
             "profiles.0.group=all",
             "profiles.1.group=all");
-    private static final List<String> KEYS = List.of("family_info.warm_keys=true");
-    private static final List<String> ZONES = List.of("fees.cross_zone=0.3");
-    private static final List<String> CUSTOMERS =
+    private static final List<String> KEY_AFFINITY = List.of("family_info.warm_keys=true");
+    private static final List<String> CROSS_ZONE_COST = List.of("fees.cross_zone=0.3");
+    private static final List<String> CUSTOMERS_AND_WORST_PROFILE =
             List.of("tenants.count=2", "tenants.0.share=0.4", "tenants.1.share=0.6", "goal.worst_class=0.3");
-    private static final List<String> CONNECTIONS = List.of("fees.connection=0.1", "n_instances=200");
-    private static final List<String> NO_CANCELLING = List.of("ceilings.cancelling=false", "weights=off");
+    private static final List<String> CONNECTION_COST = List.of("fees.connection=0.1", "n_instances=200");
+    private static final List<String> NO_CANCELLATION = List.of("ceilings.cancelling=false", "weights=off");
 
     static List<TraceScenario> all() {
         return List.of(
-                new TraceScenario("calm", 3, 12, STEADY, false, false, List.of(), NONE),
-                new TraceScenario("few", 4, 20, FEW, false, false, List.of(), ALL),
-                new TraceScenario("slow", 3, 12, STEADY, false, false, List.of(), SLOW),
-                new TraceScenario("silent", 3, 12, STEADY, false, false, List.of(), SILENT),
-                new TraceScenario("drains", 3, 12, STEADY, false, false, List.of(), DRAINS),
-                new TraceScenario("failing", 3, 12, STEADY, false, true, List.of(), FAILING),
-                new TraceScenario("restart", 3, 12, STEADY, false, true, List.of(), RESTART),
-                new TraceScenario("discovery-gone", 3, 12, STEADY, false, false, List.of(), DISCOVERY_GONE),
-                new TraceScenario("overload", 2, 6, SURGE, false, true, CUSTOMERS, SLOW),
-                new TraceScenario("ending", 2, 12, STEADY, false, false, List.of(), ENDING),
-                new TraceScenario("keys", 3, 12, STEADY, false, false, KEYS, ALL),
-                new TraceScenario("keys-live", 3, 12, SURGE, true, true, with(KEYS, "weights=live"), RESTART),
-                new TraceScenario("zones", 3, 12, SURGE, false, false, ZONES, ALL),
-                new TraceScenario("customers", 3, 12, SURGE, false, true, CUSTOMERS, ALL),
-                new TraceScenario("connections", 3, 40, STEADY, false, false, CONNECTIONS, ALL),
-                new TraceScenario("no-cancelling", 2, 12, STEADY, false, false, NO_CANCELLING, ALL),
-                new TraceScenario("stale", 3, 12, STEADY, false, true, List.of(), ALL_STALE),
-                new TraceScenario("idle", 2, 12, MORNING, false, false, List.of(), SLOW),
-                new TraceScenario("shares", 2, 6, SURGE, false, false, EVEN_CUSTOMERS, SLOW),
-                new TraceScenario("windows", 3, 40, STEADY, false, false, MANY_SIDECARS, ALL),
-                new TraceScenario("deduplication", 3, 12, STEADY, false, false, SHORT_WINDOWS, ALL),
-                new TraceScenario("hot-keys", 3, 12, STEADY, false, false, KEYS, NONE),
-                new TraceScenario("tight-goals", 2, 6, BURSTS, false, true, TIGHT_GOALS, SLOW),
-                new TraceScenario("ending-late", 2, 12, STEADY, false, false, NO_CANCELLING, ENDING_LATE));
+                new TraceScenario("calm", 3, 12, STEADY_LOAD, false, false, List.of(), NONE),
+                new TraceScenario("few", 4, 20, LOW_LOAD, false, false, List.of(), COMBINED),
+                new TraceScenario("slow", 3, 12, STEADY_LOAD, false, false, List.of(), SLOW),
+                new TraceScenario("silent", 3, 12, STEADY_LOAD, false, false, List.of(), SILENT),
+                new TraceScenario("drains", 3, 12, STEADY_LOAD, false, false, List.of(), DRAINING),
+                new TraceScenario("failing", 3, 12, STEADY_LOAD, false, true, List.of(), FAILURES),
+                new TraceScenario("restart", 3, 12, STEADY_LOAD, false, true, List.of(), RESTARTS),
+                new TraceScenario(
+                        "discovery-gone", 3, 12, STEADY_LOAD, false, false, List.of(), DISCOVERY_DISCONNECTED),
+                new TraceScenario("overload", 2, 6, LOAD_PEAK, false, true, CUSTOMERS_AND_WORST_PROFILE, SLOW),
+                new TraceScenario("ending", 2, 12, STEADY_LOAD, false, false, List.of(), SHUTDOWN),
+                new TraceScenario("keys", 3, 12, STEADY_LOAD, false, false, KEY_AFFINITY, COMBINED),
+                new TraceScenario(
+                        "keys-live", 3, 12, LOAD_PEAK, true, true, with(KEY_AFFINITY, "weights=live"), RESTARTS),
+                new TraceScenario("zones", 3, 12, LOAD_PEAK, false, false, CROSS_ZONE_COST, COMBINED),
+                new TraceScenario("customers", 3, 12, LOAD_PEAK, false, true, CUSTOMERS_AND_WORST_PROFILE, COMBINED),
+                new TraceScenario("connections", 3, 40, STEADY_LOAD, false, false, CONNECTION_COST, COMBINED),
+                new TraceScenario("no-cancelling", 2, 12, STEADY_LOAD, false, false, NO_CANCELLATION, COMBINED),
+                new TraceScenario("stale", 3, 12, STEADY_LOAD, false, true, List.of(), STALE_LIST_AND_FAILURES),
+                new TraceScenario("idle", 2, 12, BUSY_THEN_IDLE, false, false, List.of(), SLOW),
+                new TraceScenario("shares", 2, 6, LOAD_PEAK, false, false, TWO_CUSTOMERS, SLOW),
+                new TraceScenario("windows", 3, 40, STEADY_LOAD, false, false, MANY_SIDECARS, COMBINED),
+                new TraceScenario(
+                        "deduplication", 3, 12, STEADY_LOAD, false, false, SHORT_DEDUPLICATION_WINDOWS, COMBINED),
+                new TraceScenario("hot-keys", 3, 12, STEADY_LOAD, false, false, KEY_AFFINITY, NONE),
+                new TraceScenario("tight-goals", 2, 6, BURSTS, false, true, SHORT_LATENCY_OBJECTIVES, SLOW),
+                new TraceScenario("ending-late", 2, 12, STEADY_LOAD, false, false, NO_CANCELLATION, DELAYED_SHUTDOWN));
     }
 
-    private static List<String> with(List<String> settings, String further) {
-        return List.of(settings.get(0), further);
+    private static List<String> with(List<String> settings, String setting) {
+        return List.of(settings.get(0), setting);
     }
 
     double arrivalsPerSecond(long second) {
@@ -173,7 +176,7 @@
                     effects.get(i),
                     List.of("all", "cell", "zone").get((number + i) % 3)));
         }
-        further.forEach(each -> text.append(each).append('\n'));
+        extraSettings.forEach(each -> text.append(each).append('\n'));
         return text.toString();
     }
 }
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -18,29 +18,29 @@
 import trestlegrade.policy.request.RejectionReason;
 
 /**
- * Sidecars and endpoints on one virtual clock, drawn from one seed. Every call by which a sidecar's decisions act goes
- * into a hash, with its time and its arguments; equal hashes mean equal decisions.
+ * Simulates sidecars and endpoints on a virtual clock, with all random numbers drawn from one seed. Each
+ * {@link PolicyActions} call of a sidecar is hashed with its time and arguments; equal hashes mean equal decisions.
  */
 final class TracedFleet {
-    // Tenths of a millisecond, as everywhere in the decisions.
+    // Times are ticks of 0.1 ms, as everywhere in the policy.
     private static final long MILLISECOND = 10;
     private static final long SECOND = 1_000 * MILLISECOND;
-    private static final long GRACE = SECOND;
-    private static final List<RejectionReason> REASONS = List.of(RejectionReason.values());
+    private static final long DRAIN_GRACE = SECOND;
+    private static final List<RejectionReason> REJECTION_REASONS = List.of(RejectionReason.values());
 
-    private record Event(long at, long order, Runnable action) {}
+    private record Event(long at, long sequenceNumber, Runnable action) {}
 
     private final TraceScenario scenario;
     private final Random random;
     private final MessageDigest digest;
-    private final ByteBuffer line = ByteBuffer.allocate(64);
+    private final ByteBuffer hashInput = ByteBuffer.allocate(64);
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::sequenceNumber));
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final List<Sidecar> sidecars = new ArrayList<>();
     private long now = 1_000 * SECOND;
-    private long order;
-    private long decisions;
+    private long nextSequenceNumber;
+    private long decisionCount;
     private long listVersion;
     private boolean discoveryReachable = true;
 
@@ -60,26 +60,26 @@
             sidecars.add(sidecar);
             sidecar.start(seed * 31 + i, false);
         }
-        every(SECOND, this::tellList);
+        every(SECOND, this::notifySidecars);
         for (long at = 0; at < 10 * 60; at += 30) {
-            after(at * SECOND + 6 * SECOND, () -> scenario.fault().begin(this));
+            after(at * SECOND + 6 * SECOND, () -> scenario.fault().inject(this));
             after(at * SECOND + 20 * SECOND, this::recover);
         }
     }
 
-    /** Plays until the time or the number of decisions is reached; the hash of all that was decided. */
-    String play(long seconds, long mostDecisions) {
+    /** Runs until the time or number of decisions is reached; returns the number and the hash of all decisions. */
+    String run(long seconds, long maxDecisions) {
         long end = now + seconds * SECOND;
-        while (!events.isEmpty() && events.peek().at() <= end && decisions < mostDecisions) {
+        while (!events.isEmpty() && events.peek().at() <= end && decisionCount < maxDecisions) {
             Event next = events.poll();
             now = next.at();
             next.action().run();
         }
-        return decisions + " " + HexFormat.of().formatHex(digest.digest()).substring(0, 32);
+        return decisionCount + " " + HexFormat.of().formatHex(digest.digest()).substring(0, 32);
     }
 
-    /** The fault of a calm day. */
-    void leaveAlone() {}
+    /** Injects no fault. */
+    void injectNothing() {}
 
     Random random() {
         return random;
@@ -93,7 +93,7 @@
         return endpoints.size();
     }
 
-    void loseDiscovery(boolean moved) {
+    void disconnectDiscovery(boolean moved) {
         discoveryReachable = false;
         if (moved) {
             sidecars.forEach(each -> each.lease.discoveryMoved(now));
@@ -102,11 +102,11 @@
         }
     }
 
-    void endSidecarsLater(long delay, long span) {
-        after(delay, () -> endSidecarsBy(span));
+    void shutDownSidecarsAfter(long delay, long duration) {
+        after(delay, () -> shutDownSidecarsWithin(duration));
     }
 
-    /** Every sidecar's watch on the list ends, and calls of discovery fail until it recovers. */
+    /** Ends every sidecar's watch of the endpoint list; calls of discovery fail until {@link #recover}. */
     void failWatches() {
         sidecars.forEach(each -> each.loadBalancer.onEndpointListFailed(now));
     }
@@ -115,19 +115,19 @@
         sidecars.get(index % sidecars.size()).start(now + index, true);
     }
 
-    void endSidecarsBy(long span) {
-        sidecars.forEach(each -> each.loadBalancer.shutDownBy(now + span));
+    void shutDownSidecarsWithin(long duration) {
+        sidecars.forEach(each -> each.loadBalancer.shutDownBy(now + duration));
     }
 
-    /** Every endpoint and discovery are well again. */
+    /** Ends all faults of the endpoints and of discovery. */
     private void recover() {
         discoveryReachable = true;
         for (Endpoint endpoint : endpoints) {
-            endpoint.slowness = 1;
+            endpoint.latencyFactor = 1;
             endpoint.silent = false;
-            endpoint.failing = 0;
+            endpoint.errorRate = 0;
             endpoint.failingProfile = -1;
-            endpoint.refusing = false;
+            endpoint.rejecting = false;
             if (endpoint.state != EndpointUpdate.State.READY) {
                 endpoint.restart();
             }
@@ -135,15 +135,15 @@
         listVersion++;
     }
 
-    /** One endpoint as it really is. */
+    /** The actual state of one endpoint, of which the sidecars know only a part. */
     final class Endpoint {
         private long id;
         private final int index;
-        double slowness = 1;
+        double latencyFactor = 1;
         boolean silent;
-        double failing;
+        double errorRate;
         int failingProfile = -1;
-        boolean refusing;
+        boolean rejecting;
         private EndpointUpdate.State state = EndpointUpdate.State.READY;
         private long startedAt;
         private long busyUntil;
@@ -163,7 +163,7 @@
             });
         }
 
-        /** The same endpoint begins anew, cold; every third time under another id. */
+        /** Restarts the endpoint cold; one restart in three, at random, gives it another id. */
         void restart() {
             startedAt = now;
             state = EndpointUpdate.State.READY;
@@ -175,22 +175,22 @@
 
         private EndpointUpdate row() {
             double weight = index % 3 == 0 ? 2 : 1;
-            double shown = scenario.liveWeights() ? weight / (1 + inFlight / 4.0) : weight;
-            return new EndpointUpdate(id, index % 2, index % 3, index / 2, state, shown, startedAt);
+            double reported = scenario.liveWeights() ? weight / (1 + inFlight / 4.0) : weight;
+            return new EndpointUpdate(id, index % 2, index % 3, index / 2, state, reported, startedAt);
         }
 
         private long serve(long work) {
-            double cold = startedAt == 0 ? 1 : Math.min(1, 0.2 + 0.8 * (now - startedAt) / (20.0 * SECOND));
-            long took = (long) (work * slowness / cold);
-            busyUntil = Math.max(now, busyUntil) + took / 8;
-            return busyUntil - now + took * 7 / 8;
+            double capacity = startedAt == 0 ? 1 : Math.min(1, 0.2 + 0.8 * (now - startedAt) / (20.0 * SECOND));
+            long duration = (long) (work * latencyFactor / capacity);
+            busyUntil = Math.max(now, busyUntil) + duration / 8;
+            return busyUntil - now + duration * 7 / 8;
         }
 
-        private AttemptOutcome refusal() {
+        private AttemptOutcome rejection() {
             if (state == EndpointUpdate.State.GONE) {
                 return AttemptOutcome.NO_CONNECTION;
             }
-            if (refusing) {
+            if (rejecting) {
                 return random.nextBoolean() ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.REJECTED;
             }
             return state == EndpointUpdate.State.DRAINING && random.nextBoolean() ? AttemptOutcome.REJECTED : null;
@@ -206,165 +206,168 @@
         return null;
     }
 
-    private void tellList() {
+    private void notifySidecars() {
         if (!discoveryReachable) {
             return;
         }
         for (Sidecar each : sidecars) {
             each.lease.renew(now);
-            if (scenario.liveWeights() || each.toldVersion != listVersion) {
-                each.list(random.nextInt(4) == 0);
+            if (scenario.liveWeights() || each.notifiedVersion != listVersion) {
+                each.deliverList(random.nextInt(4) == 0);
             }
         }
     }
 
-    private void after(long span, Runnable action) {
-        events.add(new Event(now + Math.max(1, span), order++, action));
+    private void after(long delay, Runnable action) {
+        events.add(new Event(now + Math.max(1, delay), nextSequenceNumber++, action));
     }
 
-    private void every(long span, Runnable action) {
-        after(span, () -> {
+    private void every(long interval, Runnable action) {
+        after(interval, () -> {
             action.run();
-            every(span, action);
+            every(interval, action);
         });
     }
 
-    private record Sent(long transaction, int attempt, Endpoint endpoint, LoadBalancer by) {}
+    private record Sent(long transaction, int attempt, Endpoint endpoint, LoadBalancer sender) {}
 
-    /** One sidecar: its decisions, and what it asks of the world. */
+    /** One sidecar: its load balancer, and the actions that this requests. */
     private final class Sidecar implements PolicyActions {
         private final int number;
-        private final EndpointListLease lease = new EndpointListLease(now, GRACE);
+        private final EndpointListLease lease = new EndpointListLease(now, DRAIN_GRACE);
         private LoadBalancer loadBalancer;
         private long nextTransaction = 1;
-        private long toldVersion = -1;
+        private long notifiedVersion = -1;
         private int generation;
-        private final Map<Long, Integer> attempts = new HashMap<>();
+        private final Map<Long, Integer> attemptCounts = new HashMap<>();
         private final Map<Long, Integer> profiles = new HashMap<>();
-        private final Map<Long, List<Sent>> out = new HashMap<>();
+        private final Map<Long, List<Sent>> inFlight = new HashMap<>();
 
         Sidecar(int number) {
             this.number = number;
             after((long) (number * 3.7 * MILLISECOND), () -> arrive(true));
         }
 
-        void start(long seed, boolean again) {
+        void start(long seed, boolean cachedList) {
             generation++;
-            out.clear();
+            inFlight.clear();
             loadBalancer = new LoadBalancer(
                     PolicySettingsReader.ofLines(scenario.settings(number)).read(), seed, this, lease);
             loadBalancer.start(now);
-            list(again);
+            deliverList(cachedList);
         }
 
-        private void list(boolean old) {
-            toldVersion = listVersion;
+        private void deliverList(boolean cached) {
+            notifiedVersion = listVersion;
             List<EndpointUpdate> rows = endpoints.stream().map(Endpoint::row).toList();
-            boolean whole = random.nextInt(5) != 0;
-            loadBalancer.onEndpointUpdates(now, rows, whole, old);
+            boolean complete = random.nextInt(5) != 0;
+            loadBalancer.onEndpointUpdates(now, rows, complete, cached);
         }
 
-        private void arrive(boolean again) {
+        private void arrive(boolean scheduleNext) {
             long id = nextTransaction++;
             int profile = random.nextInt(3);
             int customer = random.nextInt(10) < 7 ? 0 : random.nextInt(3) - 1 + (random.nextInt(9) == 0 ? 5 : 0);
             long key = random.nextInt(3) == 0 ? 0 : 1 + (long) Math.abs(random.nextGaussian() * 40);
             key = scenario.name().equals("hot-keys") && key < 15 ? 1 : key;
-            long patience = (300 + random.nextInt(700)) * MILLISECOND;
+            long timeout = (300 + random.nextInt(700)) * MILLISECOND;
             long cost = random.nextInt(4) == 0 ? 0 : 500 + random.nextInt(1_000);
             profiles.put(id, profile);
-            loadBalancer.onArrival(now, id, profile, customer, key, patience, cost);
+            loadBalancer.onArrival(now, id, profile, customer, key, timeout, cost);
             if (random.nextInt(100) == 0) {
-                LoadBalancer taker = loadBalancer;
-                after(random.nextInt(100) * MILLISECOND, () -> taker.onClientDisconnected(now, id));
+                LoadBalancer receiver = loadBalancer;
+                after(random.nextInt(100) * MILLISECOND, () -> receiver.onClientDisconnected(now, id));
             }
-            if (again) {
+            if (scheduleNext) {
                 double rate = scenario.arrivalsPerSecond(((now / SECOND) - 1_000) % 30);
                 after((long) (-Math.log(1 - random.nextDouble()) * SECOND / rate), () -> arrive(true));
             }
         }
 
         @Override
-        public void send(long tx, long endpoint, long timeout, long writtenBefore) {
-            record(1, tx, endpoint, timeout, writtenBefore);
-            int attempt = attempts.merge(tx, 1, Integer::sum) - 1;
-            Sent sent = new Sent(tx, attempt, byId(endpoint), loadBalancer);
-            out.computeIfAbsent(tx, t -> new ArrayList<>(2)).add(sent);
-            begin(sent, timeout, writtenBefore);
+        public void send(long transactionId, long endpoint, long timeout, long writeBefore) {
+            record(1, transactionId, endpoint, timeout, writeBefore);
+            int attempt = attemptCounts.merge(transactionId, 1, Integer::sum) - 1;
+            Sent sent = new Sent(transactionId, attempt, byId(endpoint), loadBalancer);
+            inFlight.computeIfAbsent(transactionId, t -> new ArrayList<>(2)).add(sent);
+            startAttempt(sent, timeout, writeBefore);
         }
 
-        private void begin(Sent sent, long timeout, long writtenBefore) {
+        private void startAttempt(Sent sent, long timeout, long writeBefore) {
             Endpoint endpoint = sent.endpoint();
-            AttemptOutcome refusal = endpoint == null ? AttemptOutcome.NO_CONNECTION : endpoint.refusal();
+            AttemptOutcome rejection = endpoint == null ? AttemptOutcome.NO_CONNECTION : endpoint.rejection();
             if (random.nextInt(500) == 0) {
-                refusal = AttemptOutcome.NOT_SENT;
+                rejection = AttemptOutcome.NOT_SENT;
             }
-            if (refusal != null || now >= writtenBefore) {
-                end(sent, refusal == null ? AttemptOutcome.NOT_SENT : refusal, (1 + random.nextInt(3)) * MILLISECOND);
+            if (rejection != null || now >= writeBefore) {
+                endAttempt(
+                        sent,
+                        rejection == null ? AttemptOutcome.NOT_SENT : rejection,
+                        (1 + random.nextInt(3)) * MILLISECOND);
                 return;
             }
             endpoint.inFlight++;
             int profile = profiles.get(sent.transaction());
             long work = (long) (-Math.log(1 - random.nextDouble()) * (10 + 10 * profile) * MILLISECOND);
-            long took = endpoint.serve(work);
-            boolean fails = random.nextDouble() < (endpoint.failingProfile == profile ? 0.9 : endpoint.failing);
-            if (endpoint.silent || took >= timeout) {
-                end(sent, AttemptOutcome.TIMED_OUT, timeout);
+            long duration = endpoint.serve(work);
+            boolean fails = random.nextDouble() < (endpoint.failingProfile == profile ? 0.9 : endpoint.errorRate);
+            if (endpoint.silent || duration >= timeout) {
+                endAttempt(sent, AttemptOutcome.TIMED_OUT, timeout);
             } else if (fails) {
-                end(sent, random.nextInt(3) == 0 ? AttemptOutcome.BROKEN : AttemptOutcome.ERROR, took);
+                endAttempt(sent, random.nextInt(3) == 0 ? AttemptOutcome.BROKEN : AttemptOutcome.ERROR, duration);
             } else {
                 if (random.nextInt(20) == 0) {
-                    after(took / 2, () -> sent.by().onStreaming(sent.transaction(), sent.attempt()));
+                    after(duration / 2, () -> sent.sender().onStreaming(sent.transaction(), sent.attempt()));
                 }
-                end(sent, AttemptOutcome.COMMITTED, took);
+                endAttempt(sent, AttemptOutcome.COMMITTED, duration);
             }
         }
 
-        private void end(Sent sent, AttemptOutcome outcome, long took) {
-            long begun = now;
-            after(took, () -> finish(sent, outcome, now - begun));
+        private void endAttempt(Sent sent, AttemptOutcome outcome, long delay) {
+            long calledAt = now;
+            after(delay, () -> finish(sent, outcome, now - calledAt));
         }
 
-        private void finish(Sent sent, AttemptOutcome outcome, long took) {
-            List<Sent> open = out.get(sent.transaction());
-            if (sent.by() != loadBalancer || open == null || !open.remove(sent)) {
+        private void finish(Sent sent, AttemptOutcome outcome, long duration) {
+            List<Sent> attempts = inFlight.get(sent.transaction());
+            if (sent.sender() != loadBalancer || attempts == null || !attempts.remove(sent)) {
                 return;
             }
             if (sent.endpoint() != null && sent.endpoint().inFlight > 0) {
                 sent.endpoint().inFlight--;
             }
             loadBalancer.onAttemptEnded(
-                    now, sent.transaction(), sent.attempt(), outcome, took, outcome == AttemptOutcome.COMMITTED);
+                    now, sent.transaction(), sent.attempt(), outcome, duration, outcome == AttemptOutcome.COMMITTED);
         }
 
         @Override
-        public void cancel(long tx, int attempt) {
-            record(2, tx, attempt, 0, 0);
-            for (Sent each : List.copyOf(out.getOrDefault(tx, List.of()))) {
+        public void cancel(long transactionId, int attempt) {
+            record(2, transactionId, attempt, 0, 0);
+            for (Sent each : List.copyOf(inFlight.getOrDefault(transactionId, List.of()))) {
                 if (each.attempt() == attempt) {
-                    end(each, AttemptOutcome.CANCELLED, MILLISECOND);
+                    endAttempt(each, AttemptOutcome.CANCELLED, MILLISECOND);
                 }
             }
         }
 
         @Override
-        public void rollBack(long tx, long pause, RejectionReason why) {
-            record(3, tx, pause, REASONS.indexOf(why), 0);
+        public void rollBack(long transactionId, long retryAfter, RejectionReason reason) {
+            record(3, transactionId, retryAfter, REJECTION_REASONS.indexOf(reason), 0);
             if (scenario.clientsRetry() && random.nextInt(3) == 0) {
-                after(pause + 10 * MILLISECOND, () -> arrive(false));
+                after(retryAfter + 10 * MILLISECOND, () -> arrive(false));
             }
         }
 
         @Override
-        public void abandon(long tx, RejectionReason why) {
-            record(4, tx, REASONS.indexOf(why), 0, 0);
+        public void abandon(long transactionId, RejectionReason reason) {
+            record(4, transactionId, REJECTION_REASONS.indexOf(reason), 0, 0);
         }
 
         @Override
-        public void scheduleTick(long span) {
-            record(5, span, 0, 0, 0);
-            LoadBalancer woken = loadBalancer;
-            after(span, () -> woken.onTick(now));
+        public void scheduleTick(long delay) {
+            record(5, delay, 0, 0, 0);
+            LoadBalancer requester = loadBalancer;
+            after(delay, () -> requester.onTick(now));
         }
 
         @Override
@@ -373,7 +376,7 @@
             after(5 * MILLISECOND, () -> {
                 if (discoveryReachable) {
                     lease.renew(now);
-                    list(false);
+                    deliverList(false);
                 } else {
                     loadBalancer.onEndpointListFailed(now);
                 }
@@ -381,11 +384,11 @@
         }
 
         private void record(int call, long a, long b, long c, long d) {
-            decisions++;
-            line.clear();
-            line.putLong(now).putInt(number).putInt(generation).putInt(call);
-            line.putLong(a).putLong(b).putLong(c).putLong(d);
-            digest.update(line.array(), 0, line.position());
+            decisionCount++;
+            hashInput.clear();
+            hashInput.putLong(now).putInt(number).putInt(generation).putInt(call);
+            hashInput.putLong(a).putLong(b).putLong(c).putLong(d);
+            digest.update(hashInput.array(), 0, hashInput.position());
         }
     }
 }
--- a/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
@@ -15,11 +15,12 @@
 import trestlegrade.policy.request.RejectionReason;
 import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
-/** The lease of the list; times in tenths of a millisecond, confirmed at 100,000 first. */
+/** Tests when the endpoint list lease expires and what is sent under it. Times are ticks of 0.1 ms. */
 class EndpointListLeaseTest {
 
     /**
-     * What happens at 130,000, and until when the list may be sent by; held up for 0.15 s it is still within the grace.
+     * Checks when a lease that was confirmed at 100,000 expires after an event at 130,000. The expiry leaves a margin
+     * within the grace for a stalled process.
      */
     @ParameterizedTest
     @CsvSource({
@@ -27,52 +28,52 @@
         "nothing, 2500, 160833",
         "nothing, 0, 160000",
         "confirmed, 10000, 197000",
-        "late word, 10000, 167000",
+        "older confirmation, 10000, 167000",
         "unreachable, 10000, 197000",
         "moved, 10000, 177000",
-        "unwatched, 10000, 137000",
+        "push watch ended, 10000, 137000",
         "moved and confirmed, 10000, 197000",
-        "unwatched and unreachable, 10000, 197000",
+        "push watch ended and unreachable, 10000, 197000",
         "shorter grace, 10000, 160833"
     })
-    void ends(String event, long grace, long end) {
+    void expiresAtTheExpectedTime(String event, long grace, long expiry) {
         EndpointListLease lease = new EndpointListLease(100_000, grace);
         long now = 130_000;
         switch (event) {
             case "confirmed" -> lease.renew(now);
-            case "late word" -> lease.renew(90_000);
+            case "older confirmation" -> lease.renew(90_000);
             case "unreachable" -> lease.discoveryUnreachable(now);
             case "moved" -> {
                 lease.renew(now);
                 lease.discoveryMoved(now);
             }
-            case "unwatched" -> lease.pushWatchEnded(now);
+            case "push watch ended" -> lease.pushWatchEnded(now);
             case "moved and confirmed" -> {
                 lease.discoveryMoved(now);
                 lease.renew(now);
             }
-            case "unwatched and unreachable" -> {
+            case "push watch ended and unreachable" -> {
                 lease.pushWatchEnded(now);
                 lease.discoveryUnreachable(now);
             }
             case "shorter grace" -> lease.setDrainGrace(2_500);
             default -> {}
         }
-        assertTrue(lease.isValid(end - 1));
-        assertFalse(lease.isValid(end));
+        assertTrue(lease.isValid(expiry - 1));
+        assertFalse(lease.isValid(expiry));
     }
 
     @Test
-    void aPermanentOneNeverEnds() {
+    void permanentLeaseNeverExpires() {
         assertTrue(EndpointListLease.permanent().isValid(Long.MAX_VALUE / 2));
     }
 
-    /** Nothing is sent past its end: no first attempt, none for what waited, and none behind one that failed. */
+    /** After the lease has expired no attempt is sent: no first one, none of a waiting transaction and no retry. */
     @Test
-    void decisionsSendNothingPastItsEnd() {
+    void nothingIsSentAfterExpiry() {
         EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
         PolicyHarness harness = new PolicyHarness(lease, DeduplicationScope.ALL, 3).fleet(State.READY, 0);
-        harness.now += EndpointListLease.NOTIFICATION_TICKS + 6_900;
+        harness.now += EndpointListLease.NOTIFICATION_DELAY_TICKS + 6_900;
         long open = harness.arrive(2);
         assertEquals(1, harness.sent.size());
         harness.now += 100;
@@ -90,18 +91,18 @@
     }
 
     /**
-     * Discovery says nothing for a minute: those that serve are sent to, one that drains no later than that may count
-     * as told.
+     * While discovery is silent for a minute, endpoints that serve requests continue to receive them. An endpoint that
+     * drains receives none from the time at which its draining may count as notified.
      */
     @Test
-    void serversThatServeAreSentToWithoutDiscovery() {
+    void servingEndpointsReceiveRequestsWithoutDiscovery() {
         EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
         PolicyHarness harness = new PolicyHarness(lease, DeduplicationScope.ALL, 3).fleet(State.READY, 0);
         harness.runTraffic(100_000, 100, AttemptOutcome.COMMITTED, 200);
         int before = harness.sent.size();
-        int drains = harness.runTraffic(67_000, 100, AttemptOutcome.REJECTED, 10);
-        assertTrue(drains < 3, drains + " to the one that drains");
-        assertTrue(harness.sent.size() - before > 3_000, harness.sent.size() - before + " sent");
+        int toDraining = harness.runTraffic(67_000, 100, AttemptOutcome.REJECTED, 10);
+        assertTrue(toDraining < 3, toDraining + " attempts at the draining endpoint");
+        assertTrue(harness.sent.size() - before > 3_000, harness.sent.size() - before + " attempts sent");
         assertEquals(0, harness.runTraffic(433_000, 100, AttemptOutcome.COMMITTED, 200));
         assertFalse(harness.rejectionReasons.contains(RejectionReason.STALE_LIST));
         lease.renew(harness.now);
@@ -109,10 +110,11 @@
     }
 
     /**
-     * One that has served nothing for as long as a change takes to be told may have begun to drain right after that.
+     * An endpoint that has served no request for the whole notification delay may have begun to drain right after its
+     * last one, so it receives no further attempt.
      */
     @Test
-    void whatAServerServedLongAgoTellsNothing() {
+    void requestServedLongAgoDoesNotExtendTheLease() {
         EndpointListLease lease = new EndpointListLease(1_000_000, 10_000);
         PolicyHarness harness = new PolicyHarness(lease, DeduplicationScope.ALL, 3).fleet(State.READY, 0);
         harness.now += 60_000;
