--- a/sidecar/src/test/java/trestlegrade/ArchitectureTest.java
+++ b/sidecar/src/test/java/trestlegrade/ArchitectureTest.java
@@ -8,13 +8,13 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The arrows between packages (docs/architecture.md): which package may use which. */
+/** Checks the permitted dependencies between packages (docs/architecture.md). */
 @AnalyzeClasses(packages = "trestlegrade", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
 
-    /** Decisions can be played under a virtual clock only while they reach nothing else. */
+    /** The policy can run under a simulator's virtual clock only if it uses nothing outside these packages. */
     @ArchTest
-    static final ArchRule DECISIONS_DEPEND_ON_NOTHING_OF_OURS = classes()
+    static final ArchRule POLICY_DEPENDS_ONLY_ON_PERMITTED_PACKAGES = classes()
             .that()
             .resideInAPackage("trestlegrade.policy..")
             .should()
@@ -28,9 +28,9 @@
                     "java.util.zip",
                     "com.carrotsearch.hppc..");
 
-    /** No threads, no system clock, no chance but the seeded one: the same events bring the same decisions. */
+    /** The same events must lead to the same decisions, so threads, system clock and unseeded randomness are banned. */
     @ArchTest
-    static final ArchRule DECISIONS_HAVE_NO_THREADS_NO_CLOCK_AND_NO_CHANCE_OF_THEIR_OWN = noClasses()
+    static final ArchRule POLICY_USES_NO_THREADS_SYSTEM_CLOCK_OR_UNSEEDED_RANDOMNESS = noClasses()
             .that()
             .resideInAPackage("trestlegrade.policy..")
             .should()
@@ -43,7 +43,7 @@
             .callMethod(Math.class, "random");
 
     @ArchTest
-    static final ArchRule THE_SIMULATORS_ADAPTER_HAS_NO_SOCKETS = noClasses()
+    static final ArchRule SIMULATOR_ADAPTER_USES_NO_SOCKETS = noClasses()
             .that()
             .resideInAPackage("trestlegrade.simulator..")
             .should()
@@ -59,7 +59,7 @@
                     "java.net..");
 
     @ArchTest
-    static final ArchRule THE_CONFIGURATION_KNOWS_NO_SOCKETS = noClasses()
+    static final ArchRule CONFIGURATION_USES_NO_SOCKETS = noClasses()
             .that()
             .resideInAPackage("trestlegrade.config..")
             .should()
@@ -74,7 +74,7 @@
                     "io.netty..");
 
     @ArchTest
-    static final ArchRule THE_TWO_SIDES_DO_NOT_KNOW_THE_SIMULATOR = noClasses()
+    static final ArchRule SIDECAR_DOES_NOT_DEPEND_ON_THE_SIMULATOR = noClasses()
             .that()
             .resideInAnyPackage(
                     "trestlegrade.inbound..",
@@ -87,7 +87,7 @@
             .resideInAPackage("trestlegrade.simulator..");
 
     @ArchTest
-    static final ArchRule THE_EVENT_LOOP_KNOWS_NEITHER_SIDE = noClasses()
+    static final ArchRule EVENT_LOOP_DOES_NOT_DEPEND_ON_HIGHER_LAYERS = noClasses()
             .that()
             .resideInAPackage("trestlegrade.eventloop..")
             .should()
--- a/sidecar/src/test/java/trestlegrade/DeployFileTest.java
+++ b/sidecar/src/test/java/trestlegrade/DeployFileTest.java
@@ -14,14 +14,15 @@
 import trestlegrade.lab.ProgramFiles;
 
 /**
- * deploy/balancer.toml names each file of the decisions, for it takes no folder there; a new class is easily forgotten.
+ * Checks the paths and the command in deploy/balancer.toml. Its policy key must list each file because it takes no
+ * folders, so a new class is easily forgotten.
  */
 class DeployFileTest {
     private static final Path ROOT = Files.exists(Path.of("deploy")) ? Path.of("") : Path.of("..");
     private static final Path POLICY = Path.of("sidecar/src/main/java/trestlegrade/policy");
 
     @Test
-    void namesEveryFileOfTheDecisions() throws IOException {
+    void policyKeyListsEveryFileOfThePolicy() throws IOException {
         try (Stream<Path> files = Files.walk(ROOT.resolve(POLICY))) {
             List<String> present = files.filter(Files::isRegularFile)
                     .map(file -> (ROOT.toString().isEmpty() ? file : ROOT.relativize(file)).toString())
@@ -32,14 +33,14 @@
     }
 
     @Test
-    void namesOnlyWhatExists() throws IOException {
+    void pathsOfTheNodeKeyExist() throws IOException {
         for (String path : values("node")) {
             assertTrue(Files.exists(ROOT.resolve(path)), path);
         }
     }
 
     @Test
-    void theTestsStartTheProgramAsTheOperatorsDo() throws IOException {
+    void testsStartTheProgramWithTheDeployedCommand() throws IOException {
         assertEquals(
                 "exec " + String.join(" ", ProgramFiles.serveCommand()),
                 values("run").get(0));
@@ -55,6 +56,6 @@
                         .toList();
             }
         }
-        throw new IllegalStateException("no line for " + key);
+        throw new IllegalStateException("deploy/balancer.toml has no line for the key " + key);
     }
 }
