--- a/sidecar/src/main/java/trestlegrade/config/ConfigException.java
+++ b/sidecar/src/main/java/trestlegrade/config/ConfigException.java
@@ -1,16 +1,16 @@
 package trestlegrade.config;
 
-/** The configuration cannot be used; names the key that is missing or has an unusable value. */
+/** Thrown if the configuration is invalid; names the key that is missing or has an invalid value. */
 public final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final String keyPath;
 
     /**
-     * Complains of one key.
+     * Creates an exception for one key.
      *
-     * @param keyPath path of the key within the file, its parts joined by dots, or name of an environment variable
-     * @param reason what is wrong with its value
+     * @param keyPath path of the key within the file, joined by dots, or the name of an environment variable
+     * @param reason why the value is invalid
      */
     public ConfigException(String keyPath, String reason) {
         this(keyPath, keyPath + ": " + reason, null);
@@ -21,17 +21,17 @@
         this.keyPath = keyPath;
     }
 
-    /** Complains of one setting, by its path within the settings. */
+    /** Returns an exception for one setting, given its path within the settings. */
     static ConfigException ofSetting(String settingPath, String reason) {
         return new ConfigException(settingPath, "setting " + settingPath + ": " + reason, null);
     }
 
-    /** Returns the same complaint, of a setting that stands in the configuration file. */
+    /** Returns this exception with the key path and the message prefixed by a section of the configuration file. */
     ConfigException within(String section) {
         return new ConfigException(section + "." + keyPath, section + ": " + getMessage(), this);
     }
 
-    /** Returns the path of the key that is missing or unusable. */
+    /** Returns the path of the key that is missing or has an invalid value. */
     public String keyPath() {
         return keyPath;
     }
--- a/sidecar/src/main/java/trestlegrade/config/HostPort.java
+++ b/sidecar/src/main/java/trestlegrade/config/HostPort.java
@@ -9,10 +9,10 @@
     private HostPort() {}
 
     /**
-     * Returns the address.
+     * Parses an address.
      *
-     * @param keyPath the key that the text stands under, for the complaint
-     * @throws ConfigException if the text is no address
+     * @param keyPath the key that has this value, for the error message
+     * @throws ConfigException if the text is not a valid address
      */
     public static SocketAddress parse(String keyPath, String text) {
         int colon = text.lastIndexOf(':');
@@ -22,7 +22,7 @@
                 return SocketAddress.inetSocketAddress(port, text.substring(0, colon));
             }
         } catch (NumberFormatException e) {
-            // The complaint below says all there is to say.
+            // Reported below, with the other invalid values.
         }
         throw new ConfigException(keyPath, "must be host:port, not " + text);
     }
--- a/sidecar/src/main/java/trestlegrade/config/PolicySettingsReader.java
+++ b/sidecar/src/main/java/trestlegrade/config/PolicySettingsReader.java
@@ -9,10 +9,10 @@
 import trestlegrade.policy.settings.PolicySettings.Profile;
 import trestlegrade.policy.settings.PolicySettings.Weights;
 
-/** Reads the settings of the decisions; {@link SettingNames} tells which setting becomes what. */
+/** Reads the {@link PolicySettings}; {@link SettingNames} documents the mapping of the settings. */
 public final class PolicySettingsReader {
     private static final double DEFAULT_MAX_POLL_INTERVAL_MILLIS = 10_000;
-    /** Keeps the quotient of the goal's weights finite. */
+    /** Avoids a division by zero if the weight of the whole goal is 0. */
     private static final double MIN_GOAL_WEIGHT = 1e-9;
 
     private final SettingValues values;
@@ -21,15 +21,15 @@
         this.values = values;
     }
 
-    /** Reads settings written as lines of {@code path=value}. */
+    /** Returns a reader of settings that are given as lines of {@code path=value}. */
     public static PolicySettingsReader ofLines(String text) {
         return new PolicySettingsReader(SettingValues.ofLines(text));
     }
 
     /**
-     * Returns the settings.
+     * Reads the settings.
      *
-     * @throws ConfigException if a required setting is missing or a value is unusable
+     * @throws ConfigException if a required setting is missing or a value is invalid
      */
     public PolicySettings read() {
         return new PolicySettings(
@@ -37,30 +37,30 @@
                 customers(),
                 (int) Math.max(1, values.number(SettingNames.FLEET_SIZE, 1.0)),
                 (int) Math.max(1, values.number(SettingNames.MAX_ATTEMPTS, 1.0)),
-                values.flag(SettingNames.CANCELLING),
-                values.flag(SettingNames.RETRY_AFTER),
+                values.flag(SettingNames.CANCELLATION_ALLOWED),
+                values.flag(SettingNames.RETRY_AFTER_ALLOWED),
                 values.ticks(SettingNames.MAX_RETRY_AFTER, 0.0),
                 values.text(SettingNames.LIST_DELIVERY, SettingNames.LIST_DELIVERY_PUSHED)
                         .equals(SettingNames.LIST_DELIVERY_ON_REQUEST),
                 values.ticks(SettingNames.MAX_POLL_INTERVAL, DEFAULT_MAX_POLL_INTERVAL_MILLIS),
                 weights(),
-                values.flag(SettingNames.WARM_KEYS),
+                values.flag(SettingNames.KEY_AFFINITY),
                 (int) values.number(SettingNames.LOCAL_ZONE, 0.0),
-                (int) values.number(SettingNames.SIDECAR_NUMBER, 0.0),
-                values.number(SettingNames.CROSS_ZONE_FEE, 0.0),
-                values.number(SettingNames.CONNECTION_FEE, 0.0),
-                evenness(),
+                (int) values.number(SettingNames.SIDECAR_INDEX, 0.0),
+                values.number(SettingNames.CROSS_ZONE_COST, 0.0),
+                values.number(SettingNames.CONNECTION_COST, 0.0),
+                worstProfileWeight(),
                 values.number(SettingNames.SLOW_START_INITIAL_FRACTION, null),
                 values.ticks(SettingNames.SLOW_START_DURATION, null),
                 values.number(SettingNames.CRASH_MULTIPLE, null),
-                values.ticks(SettingNames.CRASH_SPAN, null));
+                values.ticks(SettingNames.CRASH_DURATION, null));
     }
 
     private List<Profile> profiles() {
         String countPath = SettingNames.count(SettingNames.PROFILES);
         int count = (int) values.number(countPath, null);
         if (count < 1) {
-            throw ConfigException.ofSetting(countPath, "no profiles");
+            throw ConfigException.ofSetting(countPath, "must be at least 1");
         }
         List<Profile> profiles = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -71,15 +71,16 @@
 
     private Profile profile(int index) {
         Idempotency idempotency = idempotency(path(index, SettingNames.PROFILE_IDEMPOTENCY));
-        boolean keyed = idempotency == Idempotency.IDEMPOTENT_BY_KEY;
-        DeduplicationScope scope = deduplicationScope(path(index, SettingNames.PROFILE_DEDUPLICATION_SCOPE), keyed);
+        boolean idempotentByKey = idempotency == Idempotency.IDEMPOTENT_BY_KEY;
+        DeduplicationScope scope =
+                deduplicationScope(path(index, SettingNames.PROFILE_DEDUPLICATION_SCOPE), idempotentByKey);
         return new Profile(
                 values.ticks(path(index, SettingNames.PROFILE_LATENCY_OBJECTIVE), null),
                 values.ticks(path(index, SettingNames.PROFILE_DEADLINE), null),
-                values.number(path(index, SettingNames.PROFILE_REVENUE), 1.0),
+                values.number(path(index, SettingNames.PROFILE_PRIORITY_WEIGHT), 1.0),
                 idempotency,
                 scope,
-                values.ticks(path(index, SettingNames.PROFILE_DEDUPLICATION_WINDOW), keyed ? null : 0.0));
+                values.ticks(path(index, SettingNames.PROFILE_DEDUPLICATION_WINDOW), idempotentByKey ? null : 0.0));
     }
 
     private static String path(int profile, String field) {
@@ -91,7 +92,7 @@
             case "repeatable" -> Idempotency.IDEMPOTENT;
             case "by_key" -> Idempotency.IDEMPOTENT_BY_KEY;
             case "once" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw ConfigException.ofSetting(path, "unknown value");
+            default -> throw ConfigException.ofSetting(path, "must be repeatable, by_key or once");
         };
     }
 
@@ -100,7 +101,7 @@
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw ConfigException.ofSetting(path, "unknown value");
+            default -> throw ConfigException.ofSetting(path, "must be all, zone or cell");
         };
     }
 
@@ -119,13 +120,13 @@
             case "off" -> Weights.NONE;
             case "nominal", "rough" -> Weights.SIZE;
             case "live" -> Weights.LIVE;
-            default -> throw ConfigException.ofSetting(SettingNames.WEIGHTS, "unknown value");
+            default -> throw ConfigException.ofSetting(SettingNames.WEIGHTS, "must be off, nominal, rough or live");
         };
     }
 
-    private double evenness() {
-        double worstProfile = values.number(SettingNames.GOAL_WORST_PROFILE, 0.0);
-        double whole = values.number(SettingNames.GOAL_WHOLE, 1.0);
-        return Math.min(1, worstProfile / Math.max(MIN_GOAL_WEIGHT, whole));
+    private double worstProfileWeight() {
+        double worstProfileGoal = values.number(SettingNames.WORST_PROFILE_GOAL_WEIGHT, 0.0);
+        double wholeGoal = values.number(SettingNames.WHOLE_GOAL_WEIGHT, 1.0);
+        return Math.min(1, worstProfileGoal / Math.max(MIN_GOAL_WEIGHT, wholeGoal));
     }
 }
--- a/sidecar/src/main/java/trestlegrade/config/SettingValues.java
+++ b/sidecar/src/main/java/trestlegrade/config/SettingValues.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Settings as texts by path, with typed access; a list stands as the paths of its elements and of its length
- * ({@code profiles.0.effect}, {@code profiles.count}). A default of null makes a setting required.
+ * Setting values as strings by path, with typed access. A list is represented by the paths of its elements and of its
+ * length ({@code profiles.0.effect}, {@code profiles.count}). A default value of null makes a setting required.
  */
 final class SettingValues {
     private static final int TICKS_PER_MILLISECOND = 10;
@@ -18,7 +18,7 @@
         this.textByPath = textByPath;
     }
 
-    /** Reads settings written as lines of {@code path=value}; other lines are ignored. */
+    /** Reads settings that are given as lines of {@code path=value}; other lines are ignored. */
     static SettingValues ofLines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
@@ -32,32 +32,32 @@
         return new SettingValues(values);
     }
 
-    /** Reads settings written as a JSON object. */
+    /** Reads settings that are given as a JSON object. */
     static SettingValues ofJson(JsonObject settings) {
         Map<String, String> values = new HashMap<>();
         flatten("", settings, values);
         return new SettingValues(values);
     }
 
-    private static void flatten(String path, Object value, Map<String, String> into) {
+    private static void flatten(String path, Object value, Map<String, String> result) {
         if (value instanceof JsonObject object) {
             for (Map.Entry<String, Object> each : object) {
-                flatten(path.isEmpty() ? each.getKey() : path + "." + each.getKey(), each.getValue(), into);
+                flatten(path.isEmpty() ? each.getKey() : path + "." + each.getKey(), each.getValue(), result);
             }
         } else if (value instanceof JsonArray array) {
-            into.put(SettingNames.count(path), Integer.toString(array.size()));
+            result.put(SettingNames.count(path), Integer.toString(array.size()));
             for (int i = 0; i < array.size(); i++) {
-                flatten(path + "." + i, array.getValue(i), into);
+                flatten(path + "." + i, array.getValue(i), result);
             }
         } else if (value != null) {
-            into.put(path, value.toString());
+            result.put(path, value.toString());
         }
     }
 
     /**
-     * Returns a number, finite and not negative.
+     * Returns a finite, non-negative number.
      *
-     * @throws ConfigException if it is none, or is missing and required
+     * @throws ConfigException if the value is no such number, or if it is missing and required
      */
     double number(String path, Double defaultValue) {
         String text = textByPath.get(path);
@@ -74,29 +74,29 @@
             throw ConfigException.ofSetting(path, "not a number: " + text);
         }
         if (!(value >= 0) || Double.isInfinite(value)) {
-            throw ConfigException.ofSetting(path, "must be finite and not negative: " + text);
+            throw ConfigException.ofSetting(path, "must be finite and non-negative: " + text);
         }
         return value;
     }
 
     /**
-     * Returns a time as whole ticks (tenths of a millisecond); the setting and the default are milliseconds.
+     * Returns a duration in whole ticks (tenths of a millisecond); the setting and the default value are milliseconds.
      *
-     * @throws ConfigException as {@link #number}
+     * @throws ConfigException under the same conditions as {@link #number}
      */
     long ticks(String path, Double defaultMillis) {
         return Math.round(number(path, defaultMillis) * TICKS_PER_MILLISECOND);
     }
 
-    /** Returns true if the setting is {@code true}. */
+    /** Returns whether the setting is {@code true}; any other value, or none, counts as false. */
     boolean flag(String path) {
         return text(path, "false").equals("true");
     }
 
     /**
-     * Returns a text.
+     * Returns a string.
      *
-     * @throws ConfigException if it is missing and required
+     * @throws ConfigException if the value is missing and required
      */
     String text(String path, String defaultValue) {
         String text = textByPath.getOrDefault(path, defaultValue);
--- a/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
+++ b/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
@@ -10,23 +10,23 @@
  * Configuration of one sidecar: its identity, its addresses and limits, and the settings that a reload may change.
  * Times are ticks (tenths of a millisecond) unless the name says otherwise.
  *
- * @param name of this sidecar, in the log
- * @param listen address on which the application is served
- * @param discovery address of the endpoint list's source
- * @param seed of all random numbers
+ * @param name name of this sidecar in the log
+ * @param listen address on which clients connect
+ * @param discovery address from which the endpoint list is obtained
+ * @param seed seed of all random numbers
  * @param maxSockets file descriptors that this process may use for sockets
- * @param initialVersion of the initial endpoint list
- * @param initialEntries entries of the initial endpoint list, as discovery writes them
- * @param policySettings settings of the decisions
- * @param profiles names of the classes of request, by number
+ * @param initialVersion version of the initial endpoint list
+ * @param initialEntries entries of the initial endpoint list, in the format of discovery
+ * @param policySettings settings of the load-balancing policy
+ * @param profiles names of the request classes, by number
  * @param customers names of the customers, by number
  * @param zones names of the zones, by number
- * @param kinds names of the kinds of machine, by number
+ * @param kinds names of the machine kinds, by number
  * @param idleTimeoutTicks time after which endpoints close an idle connection
  * @param connectTimeoutTicks connect timeout
- * @param contractedRatePerSecond requests a second that the customers may send to this sidecar by contract; infinite if
- *     unknown
- * @param drainGraceTicks how long a draining endpoint may be sent to
+ * @param contractedRatePerSecond requests per second that all customers together may send to this sidecar by contract;
+ *     infinite if unknown
+ * @param drainGraceTicks how long requests may still be sent to a draining endpoint
  */
 public record SidecarConfig(
         String name,
@@ -47,7 +47,7 @@
         long drainGraceTicks) {
     private static final int TICKS_PER_MILLISECOND = 10;
 
-    /** Returns the longest deadline of a profile in milliseconds, which bounds the life of any transaction. */
+    /** Returns the longest deadline of any profile in milliseconds, which bounds the lifetime of a transaction. */
     public long longestDeadlineMillis() {
         return policySettings.profiles().stream()
                         .mapToLong(PolicySettings.Profile::deadlineTicks)
@@ -56,7 +56,7 @@
                 / TICKS_PER_MILLISECOND;
     }
 
-    /** Returns the longest latency objective of a profile, in milliseconds. */
+    /** Returns the longest latency objective of any profile in milliseconds. */
     public long longestLatencyObjectiveMillis() {
         return policySettings.profiles().stream()
                         .mapToLong(PolicySettings.Profile::latencyObjectiveTicks)
@@ -65,7 +65,7 @@
                 / TICKS_PER_MILLISECOND;
     }
 
-    /** Returns the keys that differ in another configuration and that hold until the process ends. */
+    /** Returns the keys whose values differ in another configuration and take effect only after a restart. */
     public List<String> keysRequiringRestart(SidecarConfig other) {
         List<String> keys = new ArrayList<>();
         if (!name.equals(other.name)) {
@@ -80,7 +80,7 @@
         return keys;
     }
 
-    /** Returns whether all that a reload may change is the same in another configuration, but for the addresses. */
+    /** Returns whether all values that a reload may change, except addresses, are equal in another configuration. */
     public boolean sameSettings(SidecarConfig other) {
         return policySettings.equals(other.policySettings)
                 && profiles.equals(other.profiles)
--- a/sidecar/src/main/java/trestlegrade/config/SidecarConfigReader.java
+++ b/sidecar/src/main/java/trestlegrade/config/SidecarConfigReader.java
@@ -15,12 +15,12 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * Reads a sidecar's configuration from its JSON file. {@code name}, {@code listen} and {@code discovery} may stand in
- * the environment instead ({@code LB_NAME}, {@code LB_LISTEN}, {@code LB_DISCOVERY}).
+ * Reads a sidecar's configuration from its JSON file. {@code name}, {@code listen} and {@code discovery} may be given
+ * by environment variables instead ({@code LB_NAME}, {@code LB_LISTEN}, {@code LB_DISCOVERY}).
  */
 public final class SidecarConfigReader {
     private static final String CONFIG_PATH_VARIABLE = "LB_CONFIG";
-    /** Leaves room for the program itself, discovery and a few connections on either side. */
+    /** Suffices for the process itself, discovery and a few connections to clients and to endpoints. */
     private static final int MIN_SOCKETS = 64;
 
     private static final double DEFAULT_IDLE_TIMEOUT_MILLIS = 10_000;
@@ -36,14 +36,14 @@
     }
 
     /**
-     * Reads the file that {@code LB_CONFIG} names.
+     * Reads the configuration from the file whose path is in {@code LB_CONFIG}.
      *
-     * @throws ConfigException if it cannot be read, lacks a required key or has an unusable value
+     * @throws ConfigException if the file cannot be read, lacks a required key or has an invalid value
      */
     public static SidecarConfig read(Map<String, String> environment) {
         String path = environment.get(CONFIG_PATH_VARIABLE);
         if (path == null || path.isEmpty()) {
-            throw new ConfigException(CONFIG_PATH_VARIABLE, "not set; it names the configuration file");
+            throw new ConfigException(CONFIG_PATH_VARIABLE, "not set; must be the path of the configuration file");
         }
         JsonObject file;
         try {
@@ -51,15 +51,15 @@
         } catch (IOException | InvalidPathException e) {
             throw new ConfigException(CONFIG_PATH_VARIABLE, "cannot read " + path + ": " + e);
         } catch (DecodeException e) {
-            throw new ConfigException(CONFIG_PATH_VARIABLE, path + " is not JSON: " + e.getMessage());
+            throw new ConfigException(CONFIG_PATH_VARIABLE, path + " is not a JSON object: " + e.getMessage());
         }
         return of(file, environment);
     }
 
     /**
-     * Reads a configuration that has been parsed.
+     * Reads the configuration from a parsed file.
      *
-     * @throws ConfigException if it lacks a required key or has an unusable value
+     * @throws ConfigException if the file lacks a required key or has an invalid value
      */
     public static SidecarConfig of(JsonObject file, Map<String, String> environment) {
         return new SidecarConfigReader(file, environment).config();
@@ -69,8 +69,8 @@
         JsonObject settings = object("settings");
         SettingValues values = SettingValues.ofJson(settings);
         PolicySettings policy = policySettings(values);
-        List<String> zones = texts(settings, SettingNames.ZONES);
-        checkNumbers(policy, zones);
+        List<String> zones = strings(settings, SettingNames.ZONES);
+        checkIndexes(policy, zones);
         JsonObject limits = object("limits");
         JsonObject known = object("known");
         if (!(known.getValue("endpoints") instanceof JsonArray entries)) {
@@ -91,7 +91,7 @@
                 names(settings, SettingNames.PROFILES),
                 names(settings, SettingNames.CUSTOMERS),
                 zones,
-                texts(settings, SettingNames.MACHINE_KINDS),
+                strings(settings, SettingNames.MACHINE_KINDS),
                 values.ticks(SettingNames.IDLE_TIMEOUT, DEFAULT_IDLE_TIMEOUT_MILLIS),
                 values.ticks(SettingNames.CONNECT_TIMEOUT, DEFAULT_CONNECT_TIMEOUT_MILLIS),
                 contractedRatePerSecond(settings) / policy.fleetSize(),
@@ -106,19 +106,19 @@
         }
     }
 
-    private static void checkNumbers(PolicySettings policy, List<String> zones) {
+    private static void checkIndexes(PolicySettings policy, List<String> zones) {
         if (policy.zone() >= Math.max(1, zones.size())) {
             throw new ConfigException(
                     "settings." + SettingNames.LOCAL_ZONE,
-                    "is not among the " + zones.size() + " of settings." + SettingNames.ZONES);
+                    "must be an index into settings." + SettingNames.ZONES + ", which has size " + zones.size());
         }
         if (policy.sidecarIndex() >= policy.fleetSize()) {
             throw new ConfigException(
-                    "settings." + SettingNames.SIDECAR_NUMBER, "must be under settings." + SettingNames.FLEET_SIZE);
+                    "settings." + SettingNames.SIDECAR_INDEX, "must be less than settings." + SettingNames.FLEET_SIZE);
         }
     }
 
-    /** Returns the rate that all customers together may send to the whole fleet; infinite if none has one. */
+    /** Returns the sum of the customers' contracted rates for the whole fleet; infinite if no customer has one. */
     private static double contractedRatePerSecond(JsonObject settings) {
         double sum = 0;
         if (settings.getValue(SettingNames.CUSTOMERS) instanceof JsonArray customers) {
@@ -134,7 +134,7 @@
 
     private static int sockets(JsonObject limits) {
         if (!(limits.getValue("sockets") instanceof Number sockets) || sockets.intValue() < MIN_SOCKETS) {
-            throw new ConfigException("limits.sockets", "must be a number, " + MIN_SOCKETS + " at least");
+            throw new ConfigException("limits.sockets", "must be a number of at least " + MIN_SOCKETS);
         }
         return sockets.intValue();
     }
@@ -143,7 +143,7 @@
         try {
             return Long.parseUnsignedLong(text("seed", null), HEXADECIMAL);
         } catch (NumberFormatException e) {
-            throw new ConfigException("seed", "must be a hexadecimal number of 16 digits at most");
+            throw new ConfigException("seed", "must be a hexadecimal number of at most 16 digits");
         }
     }
 
@@ -159,16 +159,16 @@
         if (found instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new ConfigException(key, "must be a text");
+        throw new ConfigException(key, "must be a non-empty string");
     }
 
-    /** Returns the names of a list's elements. */
+    /** Returns the names of the elements of a list, or an empty list if the setting is missing. */
     private static List<String> names(JsonObject settings, String list) {
         List<String> names = new ArrayList<>();
         if (settings.getValue(list) instanceof JsonArray array) {
             for (Object each : array) {
                 if (!(each instanceof JsonObject element && element.getValue("name") instanceof String name)) {
-                    throw new ConfigException("settings." + list + "." + names.size() + ".name", "must be a text");
+                    throw new ConfigException("settings." + list + "." + names.size() + ".name", "must be a string");
                 }
                 names.add(name);
             }
@@ -176,12 +176,12 @@
         return names;
     }
 
-    /** Returns a list's elements as texts. */
-    private static List<String> texts(JsonObject settings, String list) {
-        List<String> texts = new ArrayList<>();
+    /** Returns the elements of a list as strings, or an empty list if the setting is missing. */
+    private static List<String> strings(JsonObject settings, String list) {
+        List<String> strings = new ArrayList<>();
         if (settings.getValue(list) instanceof JsonArray array) {
-            array.forEach(each -> texts.add(Objects.toString(each)));
+            array.forEach(each -> strings.add(Objects.toString(each)));
         }
-        return texts;
+        return strings;
     }
 }
--- a/sidecar/src/test/java/trestlegrade/config/SidecarConfigReaderTest.java
+++ b/sidecar/src/test/java/trestlegrade/config/SidecarConfigReaderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import trestlegrade.policy.settings.PolicySettings.Idempotency;
 
-/** What a configuration becomes, and what is said of one that cannot be used: operators go by these texts. */
+/** Tests the values read from a configuration, and the error messages for invalid ones, which operators rely on. */
 class SidecarConfigReaderTest {
     private static final String FILE = """
             {"name":"n","listen":"127.0.0.1:80","discovery":"127.0.0.1:1","seed":"ff","limits":{"sockets":64},
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void timesBecomeTicksAndTheRateIsTheSidecarsPart() {
+    void timesAreConvertedToTicksAndTheRateIsDividedByTheFleetSize() {
         SidecarConfig config = read(FILE);
         assertEquals(255, config.seed());
         assertEquals(7, config.initialVersion());
@@ -47,40 +47,41 @@
             delimiter = '|',
             value = {
                 "\"effect\":\"once\" | \"effect\":\"on\" | settings.profiles.0.effect"
-                        + " | settings: setting profiles.0.effect: unknown value",
+                        + " | settings: setting profiles.0.effect: must be repeatable, by_key or once",
                 "\"hard_limit\":1000 | \"x\":1 | settings.profiles.0.hard_limit"
                         + " | settings: setting profiles.0.hard_limit: missing",
                 "\"cold\":1000 | \"cold\":\"soon\" | settings.safety.cold"
                         + " | settings: setting safety.cold: not a number: soon",
                 "\"fall\":1000 | \"fall\":-1 | settings.safety.fall"
-                        + " | settings: setting safety.fall: must be finite and not negative: -1",
+                        + " | settings: setting safety.fall: must be finite and non-negative: -1",
                 "\"drain_grace\":250 | \"drain_grace\":\"no\" | safety.drain_grace"
                         + " | setting safety.drain_grace: not a number: no",
-                "\"zone\":0 | \"zone\":1 | settings.zone | settings.zone: is not among the 1 of settings.azs",
+                "\"zone\":0 | \"zone\":1 | settings.zone"
+                        + " | settings.zone: must be an index into settings.azs, which has size 1",
                 "\"my_number\":1 | \"my_number\":2 | settings.my_number"
-                        + " | settings.my_number: must be under settings.n_instances",
+                        + " | settings.my_number: must be less than settings.n_instances",
                 "\"name\":\"t\" | \"nom\":\"t\" | settings.tenants.0.name"
-                        + " | settings.tenants.0.name: must be a text",
-                "\"sockets\":64 | \"sockets\":63 | limits.sockets | limits.sockets: must be a number, 64 at least",
+                        + " | settings.tenants.0.name: must be a string",
+                "\"sockets\":64 | \"sockets\":63 | limits.sockets | limits.sockets: must be a number of at least 64",
                 "\"index\":7 | \"index\":\"7\" | known.index | known.index: must be a number",
                 "\"endpoints\":[] | \"endpoints\":1 | known.endpoints | known.endpoints: must be an array",
                 "127.0.0.1:80 | 127.0.0.1 | listen | listen: must be host:port, not 127.0.0.1",
                 "127.0.0.1:80 | a:65536 | listen | listen: must be host:port, not a:65536",
                 "\"seed\":\"ff\" | \"seed\":\"gg\" | seed"
-                        + " | seed: must be a hexadecimal number of 16 digits at most",
-                "\"seed\":\"ff\" | \"x\":1 | seed | seed: must be a text",
+                        + " | seed: must be a hexadecimal number of at most 16 digits",
+                "\"seed\":\"ff\" | \"x\":1 | seed | seed: must be a non-empty string",
                 "\"limits\":{\"sockets\":64} | \"limits\":1 | limits | limits: must be an object",
             })
-    void complaintsNameTheKey(String from, String to, String keyPath, String message) {
+    void errorsNameTheKey(String from, String to, String keyPath, String message) {
         String text = FILE.replace(from, to);
-        ConfigException complaint = assertThrows(ConfigException.class, () -> read(text));
-        assertEquals(message, complaint.getMessage());
-        assertEquals(keyPath, complaint.keyPath());
+        ConfigException error = assertThrows(ConfigException.class, () -> read(text));
+        assertEquals(message, error.getMessage());
+        assertEquals(keyPath, error.keyPath());
     }
 
     @Test
-    void withoutAFileTheVariableIsNamed() {
-        ConfigException complaint = assertThrows(ConfigException.class, () -> SidecarConfigReader.read(Map.of()));
-        assertEquals("LB_CONFIG: not set; it names the configuration file", complaint.getMessage());
+    void missingConfigPathNamesTheVariable() {
+        ConfigException error = assertThrows(ConfigException.class, () -> SidecarConfigReader.read(Map.of()));
+        assertEquals("LB_CONFIG: not set; must be the path of the configuration file", error.getMessage());
     }
 }
