--- a/sidecar/src/main/java/trestlegrade/simulator/ActionCode.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/ActionCode.java
@@ -1,12 +1,12 @@
 package trestlegrade.simulator;
 
 /**
- * Codes of the records in a reply, from this process to the simulator. Each begins with the code (u16) and the instance
- * (u16).
+ * Codes of the action records that this process sends to the simulator. Each record begins with the code (u16) and the
+ * instance (u16).
  *
  * <table>
  * <caption>Actions</caption>
- * <tr><th>code</th><th>simulator's name</th><th>here</th><th>fields after the instance</th></tr>
+ * <tr><th>code</th><th>name in the simulator</th><th>name here</th><th>fields after the instance</th></tr>
  * <tr><td>1000</td><td>deliver</td><td>SEND</td><td>transaction u32, endpoint u32, timeout f64 ms</td></tr>
  * <tr><td>1010</td><td>push_back</td><td>REJECT</td><td>transaction u32, Retry-After f64 ms</td></tr>
  * <tr><td>1020</td><td>finish_error</td><td>FAIL</td><td>transaction u32</td></tr>
--- a/sidecar/src/main/java/trestlegrade/simulator/BatchReader.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/BatchReader.java
@@ -7,49 +7,49 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads batches from the simulator and the fields of their records in order. A batch has a header (bytes that follow
- * u32, records u32, clock f64 ms) and its records; all numbers are big-endian.
+ * Reads batches from the simulator, and the fields of their records in order. A batch consists of a header (size of the
+ * records in bytes u32, number of records u32, clock f64 ms) and the records. All numbers are big-endian.
  *
- * <p>The accessors of fields throw {@link BufferUnderflowException} past the end of the batch.
+ * <p>The methods that read a field throw {@link BufferUnderflowException} past the end of the batch.
  */
 final class BatchReader {
     private static final int HEADER_BYTES = 16;
-    private static final int SIZE_AT = 0;
-    private static final int RECORDS_AT = 4;
-    private static final int CLOCK_AT = 8;
-    private static final int INITIAL_BYTES = 1 << 16;
+    private static final int SIZE_OFFSET = 0;
+    private static final int RECORD_COUNT_OFFSET = 4;
+    private static final int CLOCK_OFFSET = 8;
+    private static final int INITIAL_CAPACITY = 1 << 16;
     private static final double CLOCK_LIMIT_MILLIS = 1e15;
     private static final int TICKS_PER_MILLISECOND = 10;
 
     private final InputStream in;
-    private ByteBuffer batch = ByteBuffer.allocate(INITIAL_BYTES);
+    private ByteBuffer batch = ByteBuffer.allocate(INITIAL_CAPACITY);
 
     BatchReader(InputStream in) {
         this.in = in;
     }
 
     /**
-     * Reads the next batch; returns false at the end of the input.
+     * Reads the next batch, or returns false at the end of the input.
      *
      * @throws MalformedFrameException if the input ends within the batch
      */
     boolean next() throws IOException {
-        int got = in.readNBytes(batch.array(), 0, HEADER_BYTES);
-        if (got == 0) {
+        int bytesRead = in.readNBytes(batch.array(), 0, HEADER_BYTES);
+        if (bytesRead == 0) {
             return false;
         }
-        if (got < HEADER_BYTES) {
-            throw new MalformedFrameException("input ends inside a header");
+        if (bytesRead < HEADER_BYTES) {
+            throw new MalformedFrameException("input ends within a batch header");
         }
-        int size = batch.getInt(SIZE_AT);
+        int size = batch.getInt(SIZE_OFFSET);
         if (size < 0) {
-            throw new MalformedFrameException("a batch of " + Integer.toUnsignedString(size) + " bytes");
+            throw new MalformedFrameException("batch size out of range: " + Integer.toUnsignedString(size) + " bytes");
         }
         if (size > batch.capacity() - HEADER_BYTES) {
             grow(size);
         }
         if (in.readNBytes(batch.array(), HEADER_BYTES, size) < size) {
-            throw new MalformedFrameException("input ends inside a batch");
+            throw new MalformedFrameException("input ends within a batch");
         }
         batch.limit(HEADER_BYTES + size).position(HEADER_BYTES);
         return true;
@@ -61,15 +61,15 @@
         batch = larger;
     }
 
-    int records() {
-        return batch.getInt(RECORDS_AT);
+    int recordCount() {
+        return batch.getInt(RECORD_COUNT_OFFSET);
     }
 
-    /** Returns the time of the batch in ticks. */
+    /** Returns the clock of the batch in ticks. */
     long clockTicks() throws MalformedFrameException {
-        double clockMillis = batch.getDouble(CLOCK_AT);
+        double clockMillis = batch.getDouble(CLOCK_OFFSET);
         if (!(Math.abs(clockMillis) < CLOCK_LIMIT_MILLIS)) {
-            throw new MalformedFrameException("a clock of " + clockMillis);
+            throw new MalformedFrameException("batch clock out of range: " + clockMillis + " ms");
         }
         return toTicks(clockMillis);
     }
@@ -94,7 +94,7 @@
         return Integer.toUnsignedLong(batch.getInt());
     }
 
-    /** Reads a u32 that is a length or an index; negative if it is over 2^31. */
+    /** Reads a u32 that is a length or an index; the result is negative if the value is 2^31 or more. */
     int i32() {
         return batch.getInt();
     }
@@ -111,7 +111,7 @@
         return batch.getDouble();
     }
 
-    /** Reads a time in milliseconds as whole ticks. */
+    /** Reads a time in milliseconds and returns it in whole ticks. */
     long ticks() {
         return toTicks(batch.getDouble());
     }
--- a/sidecar/src/main/java/trestlegrade/simulator/EndpointLists.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/EndpointLists.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import trestlegrade.policy.endpoint.EndpointUpdate;
 
-/** The numbered endpoint lists that all instances of the process share; a later list replaces one of its number. */
+/** The numbered endpoint lists that all instances share; a new list replaces the previous one with its number. */
 final class EndpointLists {
     private static final int MAX_LISTS = 16;
     private static final int ROW_BYTES = 22;
@@ -22,12 +22,12 @@
         }
     }
 
-    /** Reads one list. */
+    /** Reads one list and stores it under its number. */
     void read(BatchReader batch) throws MalformedFrameException {
         int number = batch.i32();
         int count = batch.i32();
         if (number < 0 || number >= MAX_LISTS) {
-            throw new MalformedFrameException("a list numbered " + number);
+            throw new MalformedFrameException("endpoint list number must be below " + MAX_LISTS + ": " + number);
         }
         if (count < 0 || count > batch.remaining() / ROW_BYTES) {
             throw new BufferUnderflowException();
@@ -41,7 +41,7 @@
 
     List<EndpointUpdate> get(int number) throws MalformedFrameException {
         if (number < 0 || number >= MAX_LISTS || lists.get(number) == null) {
-            throw new MalformedFrameException("a list of unknown number " + number);
+            throw new MalformedFrameException("unknown endpoint list number: " + number);
         }
         return lists.get(number);
     }
@@ -62,7 +62,7 @@
             case STATE_GONE -> EndpointUpdate.State.GONE;
             case STATE_READY -> EndpointUpdate.State.READY;
             case STATE_DRAINING -> EndpointUpdate.State.DRAINING;
-            default -> throw new MalformedFrameException("an endpoint in unknown state " + code);
+            default -> throw new MalformedFrameException("unknown endpoint state code: " + code);
         };
     }
 }
--- a/sidecar/src/main/java/trestlegrade/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/SimulatorAdapter.java
@@ -10,11 +10,11 @@
 import trestlegrade.policy.request.AttemptOutcome;
 
 /**
- * Runs the decisions of many sidecars for a simulator: decodes each batch of events on the input into calls of the
- * instances, and writes their actions as one reply. Single-threaded.
+ * Runs the load balancers of many sidecars for a simulator. Decodes each batch of events from the input into calls of
+ * these instances, and writes their actions as one reply. Single-threaded.
  *
- * <p>{@link EventCode} and {@link ActionCode} list the records. The outcome of an attempt is a number of ten times its
- * place in {@link AttemptOutcome}, counted from one.
+ * <p>{@link EventCode} and {@link ActionCode} list the records. The outcome of an attempt is encoded as ten times its
+ * position in {@link AttemptOutcome}, counted from one.
  */
 public final class SimulatorAdapter {
     private static final int OUTCOME_STEP = 10;
@@ -22,7 +22,7 @@
 
     /** The watch or poll failed; no entries follow. */
     private static final int SCOPE_FAILED = 0;
-    /** The list that the instance had before it started. */
+    /** The list that the instance knew before it started. */
     private static final int SCOPE_CACHED = 1;
 
     private static final int SCOPE_FULL = 2;
@@ -30,9 +30,9 @@
 
     private static final int FLAG_COST_VALID = 1;
 
-    /** Endpoint (u32) and time since the send (f64) of an answer that begins. */
-    private static final int STREAM_BEGUN_TAIL_BYTES = 12;
-    /** Time taken (f64), outcome (u8) and endpoint (u32) of a health check. */
+    /** Endpoint (u32) and time since the send (f64) at the end of a {@link EventCode#STREAM_STARTED} record. */
+    private static final int STREAM_STARTED_TAIL_BYTES = 12;
+    /** Duration (f64), outcome (u8) and endpoint (u32) of a health check. */
     private static final int HEALTH_CHECK_BYTES = 13;
 
     private final OutputStream out;
@@ -41,61 +41,61 @@
     private final EndpointLists lists = new EndpointLists();
     private final SimulatorReply reply = new SimulatorReply();
 
-    /** Reads from and writes to these streams, which the caller closes. */
+    /** Creates an adapter that reads from and writes to these streams; the caller closes them. */
     public SimulatorAdapter(InputStream in, OutputStream out) {
         batch = new BatchReader(in);
         this.out = out;
     }
 
     /**
-     * Answers batches until the input ends.
+     * Reads batches and replies to each until the input ends.
      *
-     * @throws MalformedFrameException if the input is not of the simulator's protocol
+     * @throws MalformedFrameException if the input violates the simulator's protocol
      */
     public void run() throws IOException {
         while (batch.next()) {
             reply.begin();
-            answer();
+            processBatch();
             reply.writeTo(out);
             out.flush();
         }
     }
 
-    private void answer() throws MalformedFrameException {
-        int records = batch.records();
+    private void processBatch() throws MalformedFrameException {
+        int recordCount = batch.recordCount();
         long now = batch.clockTicks();
         try {
-            for (int i = 0; i < records; i++) {
-                record(now);
+            for (int i = 0; i < recordCount; i++) {
+                processRecord(now);
             }
         } catch (BufferUnderflowException e) {
-            throw new MalformedFrameException("a record goes past the end of its batch");
+            throw new MalformedFrameException("record extends past the end of its batch");
         }
         if (batch.remaining() > 0) {
-            throw new MalformedFrameException(batch.remaining() + " bytes after the last record");
+            throw new MalformedFrameException(batch.remaining() + " bytes left after the last record of a batch");
         }
     }
 
-    private void record(long now) throws MalformedFrameException {
+    private void processRecord(long now) throws MalformedFrameException {
         EventCode code = batch.code();
         if (code == EventCode.ENDPOINT_LIST) {
             lists.read(batch);
             return;
         }
         int id = batch.u16();
-        reply.actFor(id);
+        reply.setInstance(id);
         try {
             if (code == EventCode.START) {
                 start(id, now);
             } else if (code == EventCode.STOP) {
                 instances.remove(id);
             } else {
-                event(code, instances.get(id), now);
+                processEvent(code, instances.get(id), now);
             }
         } catch (BufferUnderflowException e) {
             throw e;
         } catch (RuntimeException e) {
-            // The instance has failed, by its settings or by a fault of the decisions: the simulator is told why.
+            // The settings of the instance are invalid or its load balancer failed. The simulator ends the run.
             instances.remove(id);
             reply.fault(e.getMessage() == null ? e.toString() : e.getMessage());
         }
@@ -111,14 +111,17 @@
         instance.start(now);
     }
 
-    /** Reads one event; an instance that was stopped, or never started, is null, and its events are dropped. */
-    private void event(EventCode code, LoadBalancer instance, long now) throws MalformedFrameException {
+    /**
+     * Reads one event and passes it to the instance. The instance is null if it was stopped or never started; its
+     * events are read and dropped.
+     */
+    private void processEvent(EventCode code, LoadBalancer instance, long now) throws MalformedFrameException {
         switch (code) {
-            case LIST_NEWS -> listNews(instance, now);
+            case ENDPOINT_LIST_UPDATE -> endpointListUpdate(instance, now);
             case ARRIVAL -> arrival(instance, now);
-            case STREAM_BEGUN -> streamBegun(instance);
+            case STREAM_STARTED -> streamStarted(instance);
             case ATTEMPT_ENDED -> attemptEnded(instance, now);
-            case CLIENT_LEFT -> clientLeft(instance, now);
+            case CLIENT_DISCONNECTED -> clientDisconnected(instance, now);
             case TIMER -> timer(instance, now);
             case HEALTH_CHECK_ENDED -> {
                 batch.skip(HEALTH_CHECK_BYTES);
@@ -128,14 +131,14 @@
                 batch.skip(Short.BYTES);
                 batch.skip(batch.u16());
             }
-            default -> throw new IllegalStateException("no event of an instance: " + code);
+            default -> throw new IllegalStateException("not an event of an instance: " + code);
         }
     }
 
-    private void listNews(LoadBalancer instance, long now) throws MalformedFrameException {
-        batch.skip(Integer.BYTES); // The list's version: news come in order, and none is skipped.
+    private void endpointListUpdate(LoadBalancer instance, long now) throws MalformedFrameException {
+        batch.skip(Integer.BYTES); // The list's version is not needed: updates arrive in order and none is skipped.
         int scope = batch.u8();
-        int list = batch.i32();
+        int listNumber = batch.i32();
         if (scope == SCOPE_FAILED) {
             if (instance != null) {
                 instance.onEndpointListFailed(now);
@@ -143,9 +146,9 @@
             return;
         }
         if (scope != SCOPE_CACHED && scope != SCOPE_FULL && scope != SCOPE_DELTA) {
-            throw new MalformedFrameException("a list of unknown scope " + scope);
+            throw new MalformedFrameException("unknown endpoint list scope: " + scope);
         }
-        var rows = lists.get(list);
+        var rows = lists.get(listNumber);
         if (instance != null) {
             instance.onEndpointUpdates(now, rows, scope != SCOPE_DELTA, scope == SCOPE_CACHED);
         }
@@ -156,19 +159,19 @@
         int profile = batch.u8();
         int customer = batch.i32();
         long key = batch.u64();
-        long patience = batch.ticks();
+        long timeout = batch.ticks();
         double costMillis = batch.f64();
         boolean costValid = (batch.u16() & FLAG_COST_VALID) != 0 && costMillis > 0;
         long cost = costValid ? BatchReader.toTicks(costMillis) : 0;
         if (instance != null) {
-            instance.onArrival(now, transaction, profile, customer, key, patience, cost);
+            instance.onArrival(now, transaction, profile, customer, key, timeout, cost);
         }
     }
 
-    private void streamBegun(LoadBalancer instance) {
+    private void streamStarted(LoadBalancer instance) {
         long transaction = batch.u32();
         int attempt = batch.u8();
-        batch.skip(STREAM_BEGUN_TAIL_BYTES);
+        batch.skip(STREAM_STARTED_TAIL_BYTES);
         if (instance != null) {
             instance.onStreaming(transaction, attempt);
         }
@@ -177,18 +180,18 @@
     private void attemptEnded(LoadBalancer instance, long now) throws MalformedFrameException {
         long transaction = batch.u32();
         int attempt = batch.u8();
-        batch.skip(Integer.BYTES); // The endpoint: the attempt tells it.
+        batch.skip(Integer.BYTES); // The endpoint is not needed: it follows from the attempt.
         int outcomeCode = batch.u8();
-        long took = batch.ticks();
+        long duration = batch.ticks();
         boolean finished = batch.u8() != 0;
         skipLoadReport();
         AttemptOutcome outcome = outcome(outcomeCode);
         if (instance != null) {
-            instance.onAttemptEnded(now, transaction, attempt, outcome, took, finished);
+            instance.onAttemptEnded(now, transaction, attempt, outcome, duration, finished);
         }
     }
 
-    private void clientLeft(LoadBalancer instance, long now) {
+    private void clientDisconnected(LoadBalancer instance, long now) {
         long transaction = batch.u32();
         if (instance != null) {
             instance.onClientDisconnected(now, transaction);
@@ -196,7 +199,7 @@
     }
 
     private void timer(LoadBalancer instance, long now) {
-        batch.skip(Long.BYTES); // The token: all timers mean the same.
+        batch.skip(Long.BYTES); // The token is not needed: all timers request a tick.
         if (instance != null) {
             instance.onTick(now);
         }
@@ -209,7 +212,7 @@
     private static AttemptOutcome outcome(int code) throws MalformedFrameException {
         int index = code / OUTCOME_STEP - 1;
         if (code % OUTCOME_STEP != 0 || index < 0 || index >= OUTCOMES.length) {
-            throw new MalformedFrameException("an attempt of unknown outcome " + code);
+            throw new MalformedFrameException("unknown attempt outcome code: " + code);
         }
         return OUTCOMES[index];
     }
--- a/sidecar/src/test/java/trestlegrade/simulator/SimulatorAdapterTest.java
+++ b/sidecar/src/test/java/trestlegrade/simulator/SimulatorAdapterTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Frames in and out. */
+/** Tests the replies to batches of the simulator's protocol. */
 class SimulatorAdapterTest {
     private static final String SETTINGS = """
             something.new=1,2
@@ -30,7 +30,7 @@
             """;
     private static final String CLOCK = "40c06e2000000000";
     private static final String LIST = "044c 00000000 00000001 " + "2c9011f2 01 0000 0000 01 3fc00000 0000000000000000";
-    private static final String LIST_NEWS = "03f2 0003 00000029 01 00000000";
+    private static final String ENDPOINT_LIST_UPDATE = "03f2 0003 00000029 01 00000000";
     private static final String ARRIVAL =
             "03fc 0003 5d3a91c4 00 00000000 0000000000000000 4059000000000000 " + "0000000000000000 0000";
     private static final String SET_TIMER = "041000034024000000000000" + "0000000000000000";
@@ -56,25 +56,25 @@
     }
 
     @Test
-    void emptyBatchesAndTheEndOfInput() throws IOException {
+    void emptyBatchesAndEndOfInput() throws IOException {
         assertEquals("", reply(""));
         assertEquals("0000000000000000", reply(frame(0) + frame(0)));
     }
 
     @Test
-    void aTransactionIsSentAndAnswered() throws IOException {
+    void transactionIsSentAndCompleted() throws IOException {
         String attemptEnded = "0410 0003 5d3a91c4 00 2c9011f2 14 4032800000000000 00 00";
         assertEquals(
                 "0000002d" + WATCH + SET_TIMER + SEND + "00000008" + "03fc00035d3a91c4",
-                reply(frame(4, start(3, SETTINGS), LIST, LIST_NEWS, ARRIVAL) + frame(1, attemptEnded)));
+                reply(frame(4, start(3, SETTINGS), LIST, ENDPOINT_LIST_UPDATE, ARRIVAL) + frame(1, attemptEnded)));
     }
 
-    /** What comes for an instance that was stopped, or never was, is read and dropped. */
+    /** Events of an instance that was stopped or never started are read and dropped. */
     @Test
-    void stoppedInstances() throws IOException {
+    void eventsOfStoppedInstancesAreDropped() throws IOException {
         assertEquals(
                 "00000005" + WATCH + "00000000",
-                reply(frame(2, start(3, SETTINGS), "0442 0003") + frame(3, LIST, LIST_NEWS, ARRIVAL)));
+                reply(frame(2, start(3, SETTINGS), "0442 0003") + frame(3, LIST, ENDPOINT_LIST_UPDATE, ARRIVAL)));
         assertEquals("0000000a" + WATCH + WATCH, reply(frame(3, start(3, SETTINGS), "0442 0003", start(3, SETTINGS))));
     }
 
@@ -86,7 +86,7 @@
         "safety.cold=9000,               safety.cold=soon,           safety.cold",
         "profiles.0.effect=once,         profiles.0.effect=twice,    profiles.0.effect",
     })
-    void badSettingsNameTheirKey(String from, String to, String key) throws IOException {
+    void invalidSettingIsReportedByItsKey(String from, String to, String key) throws IOException {
         String hex = reply(frame(1, start(3, SETTINGS.replace(from, to))));
         assertEquals("0442", hex.substring(8, 12));
         String text = new String(HexFormat.of().parseHex(hex.substring(20)), StandardCharsets.UTF_8);
@@ -105,7 +105,7 @@
                 "0000000000000001" + CLOCK,
                 "0000000d00000001" + CLOCK + "03f20003000000290200000007",
             })
-    void malformed(String hex) {
+    void malformedInputIsRejected(String hex) {
         assertThrows(MalformedFrameException.class, () -> reply(hex));
     }
 }
