--- a/sidecar/src/main/java/trestlegrade/policy/retry/DeadlinePolicy.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/DeadlinePolicy.java
@@ -7,13 +7,14 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * Rule 1: each transaction has its one final answer by its deadline. Says whether another attempt is still worth it,
- * how long one waits for an endpoint, and which attempts are lost. Times are ticks of 0.1 ms.
+ * Enforces rule 1: each transaction has exactly one final response by its deadline. Decides whether another attempt is
+ * worthwhile, how long a transaction waits for an endpoint, and which attempts in flight are cancelled for a retry.
+ * Times are ticks of 0.1 ms.
  */
 public final class DeadlinePolicy {
     /**
-     * With no endpoint to send to, one part in so many of the latency objective is waited: the rest is left for the
-     * work.
+     * Without an available endpoint, a transaction waits for at most one in so many of the latency objective, because
+     * the rest is needed for processing.
      */
     private static final int WAIT_DIVISOR = 4;
 
@@ -22,7 +23,7 @@
     private final RetryBudget budget;
     private final RetryPolicy retryPolicy;
 
-    /** Reads the estimates and the budget; changes neither. */
+    /** Creates a policy that only reads the estimates and the budget. */
     public DeadlinePolicy(
             PolicySettings settings, LatencyEstimator latency, RetryBudget budget, RetryPolicy retryPolicy) {
         this.settings = settings;
@@ -31,14 +32,14 @@
         this.retryPolicy = retryPolicy;
     }
 
-    /** Whether its deadline has passed without an answer. */
+    /** Returns whether the deadline has passed without a response. */
     public boolean isOverdue(long now, Transaction transaction) {
         return !transaction.isStreaming() && now >= transaction.deadline();
     }
 
     /**
-     * Why the transaction gets no (further) attempt, or null if it does: a retry only if the time left exceeds the time
-     * that it is expected to take, and within the budget.
+     * Returns why the transaction gets no (further) attempt, or null if it does. A retry is made only if the time left
+     * exceeds the expected duration and the budget has a token.
      */
     public RejectionReason rejectionReason(long now, Transaction transaction) {
         if (now >= transaction.deadline()) {
@@ -53,16 +54,19 @@
         return budget.hasToken() || !transaction.retryAddsWork() ? null : RejectionReason.RETRY_BUDGET;
     }
 
-    /** Whether a transaction for which there is no endpoint may wait for one: none that was sent before does. */
+    /**
+     * Returns whether a transaction without an available endpoint may wait for one; a transaction that was sent before
+     * may not.
+     */
     public boolean mayWaitForEndpoint(long now, Transaction transaction) {
         long objective = settings.profiles().get(transaction.profile()).latencyObjectiveTicks();
-        long longest = Math.min(objective, transaction.deadline() - transaction.arrivedAt()) / WAIT_DIVISOR;
-        return !transaction.hasAttempts() && now - transaction.arrivedAt() < longest;
+        long maxWait = Math.min(objective, transaction.deadline() - transaction.arrivedAt()) / WAIT_DIVISOR;
+        return !transaction.hasAttempts() && now - transaction.arrivedAt() < maxWait;
     }
 
     /**
-     * Whether the attempt in flight is lost and shall be cancelled, so that a retry follows its end: its endpoint has
-     * been ejected since, it has taken longer than expected, and the retry is possible.
+     * Returns whether to cancel the attempt in flight so that a retry follows when it has ended. This requires that its
+     * endpoint has been ejected, that it has taken longer than expected, and that a retry is possible.
      */
     public boolean shouldCancelAndRetry(long now, Transaction transaction) {
         Attempt attempt = transaction.lastAttempt();
--- a/sidecar/src/main/java/trestlegrade/policy/retry/DiscoveryBackoff.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/DiscoveryBackoff.java
@@ -4,12 +4,12 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * When one sidecar of a fleet calls discovery: exponential backoff with jitter that grows with the fleet. Not
+ * Schedules one sidecar's calls to discovery, with exponential backoff and a jitter that grows with the fleet. Not
  * thread-safe.
  *
- * <p>Guards against a retry storm. Discovery serves calls one after the other, and a call that times out in its queue
- * has used up its turn all the same. If the calls of a fleet fail together and are repeated together, they fail
- * together again; spreading them by the time that discovery needs for all of them lets each be served.
+ * <p>This prevents a retry storm. Discovery serves calls one after the other, and a call that times out in its queue
+ * still takes its turn. If the calls of a fleet fail together and are repeated together, they fail together again.
+ * Spreading them over the time that discovery needs for all of them lets each be served.
  *
  * <p>Delays are ticks (tenths of a millisecond).
  */
@@ -18,17 +18,17 @@
 
     private static final long INITIAL_BACKOFF_TICKS = TICKS_PER_SECOND / 2;
     /**
-     * A change counts as notified 6 s after discovery can be reached again. With jitter the longest delay is 2.75 s,
-     * which leaves a second to connect and two for the queue.
+     * A change counts as notified 6 s after discovery can be reached again. With jitter the maximum delay is 2.75 s,
+     * which leaves one second to connect and two for the queue.
      */
     private static final long MAX_BACKOFF_TICKS = 22 * TICKS_PER_SECOND / 10;
 
     private static final int MAX_DOUBLINGS = 6;
     private static final double JITTER = 0.25;
 
-    /** Time that discovery is given for each sidecar of the fleet: 40 calls a second. */
+    /** Time allowed to discovery for each sidecar of the fleet: 40 calls per second. */
     private static final long SPREAD_TICKS_PER_SIDECAR = 250;
-    // The spreads are bounded, since the list is needed before its lease ends.
+    // The spreads are bounded, because the list is needed before its lease ends.
     private static final long MAX_START_SPREAD_TICKS = 2 * TICKS_PER_SECOND;
     private static final long MAX_RETRY_SPREAD_TICKS = 275 * TICKS_PER_SECOND / 100;
     private static final long MAX_REPLACEMENT_SPREAD_TICKS = TICKS_PER_SECOND;
@@ -38,19 +38,21 @@
     private final long maxBackoffTicks;
     private int consecutiveFailures;
 
-    /** Takes the size of the fleet and the longest time without a call from the settings. */
+    /** Creates a backoff from the fleet size and the maximum poll interval of the settings. */
     public DiscoveryBackoff(PolicySettings settings, long seed) {
         random = new SeededRandom(seed);
         fleetSpreadTicks = settings.fleetSize() * SPREAD_TICKS_PER_SIDECAR;
         maxBackoffTicks = Math.min(settings.maxPollIntervalTicks() / 4, MAX_BACKOFF_TICKS);
     }
 
-    /** Returns the delay before the first call: a whole fleet may start at once, with the lists it was given. */
+    /**
+     * Returns the delay before the first call. It is spread, because a whole fleet may start at once with cached lists.
+     */
     public long delayBeforeFirstCall() {
         return (long) (random.next() * Math.min(MAX_START_SPREAD_TICKS, fleetSpreadTicks));
     }
 
-    /** Returns the delay after a failed call or an ended watch; it doubles with each failure in a row. */
+    /** Returns the delay after a failed call or an ended watch; it doubles with each consecutive failure. */
     public long delayAfterFailure() {
         long backoff =
                 Math.min(INITIAL_BACKOFF_TICKS << Math.min(consecutiveFailures++, MAX_DOUBLINGS), maxBackoffTicks);
@@ -59,13 +61,14 @@
         return (long) (min + random.next() * (max - min));
     }
 
-    /** Resets the backoff: discovery has answered. */
+    /** Called when discovery has responded; resets the backoff. */
     public void onSuccess() {
         consecutiveFailures = 0;
     }
 
     /**
-     * Returns the delay before a silent watch is replaced or another address is watched: a whole fleet may do either.
+     * Returns the delay before a silent watch is replaced or another address is watched. It is spread, because a whole
+     * fleet may do either at once.
      */
     public long delayBeforeReplacement() {
         return (long) (random.next() * Math.min(MAX_REPLACEMENT_SPREAD_TICKS, fleetSpreadTicks));
--- a/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
@@ -9,25 +9,29 @@
 import trestlegrade.policy.settings.PolicySettings.Profile;
 
 /**
- * Rule 2: no transaction takes effect twice. Says whether a transaction may be sent (again), and whether its client may
- * be told that it had no effect; every path asks here.
+ * Enforces rule 2: no transaction takes effect twice. Decides whether a transaction may be sent (again), and whether
+ * its client may be notified that it had no effect. Every path that sends or rejects checks this policy.
  *
- * <p>An idempotent transaction may always be repeated. One with an idempotency key may be, within its window after the
- * first attempt that may have run, at the endpoints that share the journal of that attempt. Any other may be only while
- * no attempt may have run. At most one attempt is in flight. Times are ticks of 0.1 ms.
+ * <p>An idempotent transaction may always be repeated. A transaction with an idempotency key may be repeated within its
+ * deduplication window, which begins with the first attempt that may have run, at the endpoints that share the journal
+ * of that attempt. Any other transaction may be repeated only while no attempt may have run. At most one attempt is in
+ * flight. Times are ticks of 0.1 ms.
  */
 public final class RetryPolicy {
-    /** A resend travels and may wait for a connection: a tenth of a second of the window is left for that. */
+    /**
+     * This much of the deduplication window (0.1 s) is reserved, because a resend takes time to arrive and may wait for
+     * a connection.
+     */
     private static final long WINDOW_MARGIN_TICKS = 1_000;
 
     private final PolicySettings settings;
 
-    /** Has no state of its own. */
+    /** Creates a policy, which has no state of its own. */
     public RetryPolicy(PolicySettings settings) {
         this.settings = settings;
     }
 
-    /** Whether the transaction may be sent (again) to this endpoint. */
+    /** Returns whether the transaction may be sent (again) to this endpoint. */
     public boolean maySend(long now, Transaction transaction, Endpoint endpoint) {
         if (transaction.isAnswered()
                 || transaction.attempts().size() >= settings.maxAttempts()
@@ -44,15 +48,15 @@
                 && shareJournal(profile.deduplicationScope(), first.endpoint(), endpoint);
     }
 
-    private static boolean shareJournal(DeduplicationScope group, Endpoint one, Endpoint other) {
-        return switch (group) {
+    private static boolean shareJournal(DeduplicationScope scope, Endpoint one, Endpoint other) {
+        return switch (scope) {
             case ALL -> true;
             case ZONE -> one.zone() == other.zone();
             case CELL -> one.cell() == other.cell();
         };
     }
 
-    /** Whether the client may be told that the transaction had no effect and that trying again is harmless. */
+    /** Returns whether the client may be notified that the transaction had no effect and that a retry is safe. */
     public boolean mayRollBack(Transaction transaction) {
         Profile profile = profile(transaction);
         return profile.idempotency() == Idempotency.IDEMPOTENT
@@ -61,19 +65,19 @@
                         && profile.deduplicationScope() == DeduplicationScope.ALL);
     }
 
-    /** Whether a retry may follow an attempt that has been cancelled, as far as settings and profile tell. */
+    /** Returns whether settings and profile allow a retry after an attempt that has been cancelled. */
     public boolean mayReplaceCancelled(Transaction transaction) {
         return settings.cancellationAllowed()
                 && profile(transaction).idempotency() != Idempotency.NON_IDEMPOTENT
                 && transaction.attempts().size() < settings.maxAttempts();
     }
 
-    /** Whether the transaction may be repeated at any time. */
+    /** Returns whether the transaction may be repeated at any time. */
     public boolean isIdempotent(Transaction transaction) {
         return profile(transaction).idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    /** Whether an attempt that may have run ends the transaction. */
+    /** Returns whether the transaction ends with the first attempt that may have run. */
     public boolean isNonIdempotent(Transaction transaction) {
         return profile(transaction).idempotency() == Idempotency.NON_IDEMPOTENT;
     }
--- a/sidecar/src/test/java/trestlegrade/policy/retry/DiscoveryBackoffTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/retry/DiscoveryBackoffTest.java
@@ -13,16 +13,17 @@
 import trestlegrade.config.PolicySettingsReader;
 
 /**
- * A fleet before a discovery that takes calls in turn, one each 55 ms, and refuses those that have waited 2 s, which
- * use up their turn all the same. Sidecars that start together, are refused together and call again soon are refused
- * again: without a spread over the fleet's size many of them have no list for a long time.
+ * Guards against a retry storm at discovery. The simulated discovery serves calls one after the other, 55 ms each, and
+ * refuses calls that have waited for 2 s, which still take their turn. Sidecars that start together, are refused
+ * together and soon call again together are refused again, so that without a spread over the fleet size many of them
+ * have no list for a long time.
  */
 class DiscoveryBackoffTest {
     private static final long CALL_TICKS = 550;
     private static final long QUEUE_TIMEOUT_TICKS = 20_000;
     private static final int SEEDS = 200;
 
-    /** A call that is made at this time, by the caller of this number. */
+    /** A call of one sidecar at a given time. */
     private record Call(long at, int caller) {}
 
     private static DiscoveryBackoff backoff(int sidecars, long seed) {
@@ -41,49 +42,56 @@
                 """).read(), seed);
     }
 
-    /** When each of them has its list; they call at once first, or each in its time. */
-    private static List<Long> served(int sidecars, int callers, boolean atOnce, long seed) {
-        List<DiscoveryBackoff> each = new ArrayList<>();
+    /**
+     * Returns when each caller is served. The first calls are made at once, or after the delay before the first call.
+     */
+    private static List<Long> serviceTimes(int sidecars, int callers, boolean atOnce, long seed) {
+        List<DiscoveryBackoff> backoffs = new ArrayList<>();
         PriorityQueue<Call> calls = new PriorityQueue<>(Comparator.comparingLong(Call::at));
         for (int i = 0; i < callers; i++) {
-            each.add(backoff(sidecars, seed * 1_000 + i));
-            calls.add(new Call(atOnce ? i : each.get(i).delayBeforeFirstCall(), i));
+            backoffs.add(backoff(sidecars, seed * 1_000 + i));
+            calls.add(new Call(atOnce ? i : backoffs.get(i).delayBeforeFirstCall(), i));
         }
-        List<Long> served = new ArrayList<>();
-        long free = 0;
+        List<Long> serviceTimes = new ArrayList<>();
+        long freeAt = 0;
         while (!calls.isEmpty()) {
             Call call = calls.poll();
-            free = Math.max(free, call.at) + CALL_TICKS;
-            if (free - call.at <= QUEUE_TIMEOUT_TICKS) {
-                served.add(free);
+            freeAt = Math.max(freeAt, call.at) + CALL_TICKS;
+            if (freeAt - call.at <= QUEUE_TIMEOUT_TICKS) {
+                serviceTimes.add(freeAt);
             } else {
                 calls.add(new Call(
-                        call.at + QUEUE_TIMEOUT_TICKS + each.get(call.caller).delayAfterFailure(), call.caller));
+                        call.at
+                                + QUEUE_TIMEOUT_TICKS
+                                + backoffs.get(call.caller).delayAfterFailure(),
+                        call.caller));
             }
         }
-        return served;
+        return serviceTimes;
     }
 
     /**
-     * Of those that started together or lost their watches together, how many have the list after 6 s in the mean of
-     * the seeds, and when the last has it with any seed.
+     * {@code inTime}: how many of the sidecars that started or lost their watches together have the list after 6 s, in
+     * the mean of the seeds. {@code maxTime}: the maximum time until all of them have it, for every seed.
      */
     @ParameterizedTest
     @CsvSource({"76, false, 73, 75000", "76, true, 60, 90000", "30, true, 30, 20000", "6, true, 6, 20000"})
-    void aFleetIsServedInTime(int callers, boolean atOnce, int inTime, long last) {
-        long early = 0;
+    void fleetIsServedInTime(int callers, boolean atOnce, int inTime, long maxTime) {
+        long servedInTime = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            List<Long> served = served(callers > 50 ? 108 : callers, callers, atOnce, seed);
-            assertEquals(callers, served.size());
-            early += served.stream().filter(at -> at <= 60_000).count();
-            assertTrue(served.get(callers - 1) <= last, "seed " + seed + ": the last after " + served.get(callers - 1));
+            List<Long> serviceTimes = serviceTimes(callers > 50 ? 108 : callers, callers, atOnce, seed);
+            assertEquals(callers, serviceTimes.size());
+            servedInTime += serviceTimes.stream().filter(at -> at <= 60_000).count();
+            assertTrue(
+                    serviceTimes.get(callers - 1) <= maxTime,
+                    "seed " + seed + ": the last after " + serviceTimes.get(callers - 1));
         }
-        assertTrue(early >= inTime * ((long) SEEDS), early / (double) SEEDS + " after 6 s");
+        assertTrue(servedInTime >= inTime * ((long) SEEDS), servedInTime / (double) SEEDS + " after 6 s");
     }
 
-    /** A process alone is not held up by the size of its fleet for longer than its first list can be relied on. */
+    /** The size of the fleet must not delay a single process for longer than the lease of its first list. */
     @Test
-    void oneAloneWaitsForLessThanTheLeaseOfItsFirstList() {
+    void singleSidecarWaitsForLessThanTheLeaseOfItsFirstList() {
         for (int seed = 0; seed < SEEDS; seed++) {
             DiscoveryBackoff backoff = backoff(1_000, seed);
             assertTrue(backoff.delayBeforeFirstCall() <= 20_000);
