--- a/sidecar/src/test/java/trestlegrade/policy/DropRateGraderTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/DropRateGraderTest.java
@@ -13,10 +13,10 @@
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 import trestlegrade.policy.request.AttemptOutcome;
 
-/** The drop rate (the design): who is graded down, how fast, and by what. */
+/** The drop rate: which endpoints are graded down, how fast, and by which measurements. */
 class DropRateGraderTest {
 
-    /** The outlier's drop rate after a while of such attempts. */
+    /** Checks the outlier's drop rate after some time with attempts of the given outcome and duration. */
     @ParameterizedTest
     @CsvSource({
         "COMMITTED, 200, 5, 0,    0",
@@ -25,15 +25,15 @@
         "COMMITTED, 800, 40, 0.9, 1",
     })
     void slowEndpointIsGradedDownWithTimeAndOthersAreNot(
-            AttemptOutcome outcome, long took, int seconds, double least, double most) {
+            AttemptOutcome outcome, long durationTicks, int seconds, double min, double max) {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
-        int attempts = harness.traffic(seconds * 10_000L, 103, outcome, took);
+        int attempts = harness.traffic(seconds * 10_000L, 103, outcome, durationTicks);
         double drop = harness.loadBalancer.endpoint(103).dropRate().value();
-        assertTrue(drop >= least && drop <= most, "drop rate " + drop);
+        assertTrue(drop >= min && drop <= max, "drop rate " + drop);
         assertTrue(attempts > 0);
     }
 
-    /** Moves at most a quarter in 5 s, comes back as it went, and leaves the floor of one point. */
+    /** The drop rate changes by at most 0.25 in 5 s in either direction, and one ring point always remains. */
     @Test
     void dropRateMovesSlowlyBothWaysAndKeepsOnePoint() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
@@ -41,16 +41,17 @@
         assertTrue(harness.loadBalancer.endpoint(103).dropRate().value() <= 0.25 + 1e-9);
         harness.traffic(300_000, 103, AttemptOutcome.COMMITTED, 800);
         assertEquals(1, harness.loadBalancer.endpoint(103).dropRate().value());
-        assertTrue(harness.traffic(100_000, 103, AttemptOutcome.COMMITTED, 800) > 0, "the floor still gets attempts");
+        assertTrue(
+                harness.traffic(100_000, 103, AttemptOutcome.COMMITTED, 800) > 0, "one ring point still gets attempts");
         harness.advance(360_000);
-        assertEquals(0.5, harness.loadBalancer.endpoint(103).dropRate().value(), 0.3, "few calls ease down");
+        assertEquals(0.5, harness.loadBalancer.endpoint(103).dropRate().value(), 0.3, "drop rate after few calls");
         harness.advance(150_000);
         assertEquals(0, harness.loadBalancer.endpoint(103).dropRate().value());
     }
 
-    /** Everything slow at once grades nobody down. */
+    /** If all endpoints become slow at once, none is graded down. */
     @Test
-    void nobodyIsGradedDownWhenAllAreSlow() {
+    void noEndpointIsGradedDownWhenAllAreSlow() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         harness.traffic(30_000, -1, null, 0);
         for (int i = 0; i < 300; i++) {
@@ -65,9 +66,11 @@
         }
     }
 
-    /** A sidecar with little traffic grades a slow instance type down, from answers too few for any one endpoint. */
+    /**
+     * A sidecar with little traffic grades a slow instance type down, with too few samples from any single endpoint.
+     */
     @Test
-    void fewAnswersAreBlendedWithTheInstanceType() {
+    void fewSamplesAreBlendedWithTheInstanceType() {
         PolicyHarness harness = new PolicyHarness();
         for (long id = 100; id < 110; id++) {
             harness.loadBalancer.onEndpointUpdates(
@@ -79,10 +82,10 @@
         for (int i = 0; i < 60; i++) {
             harness.arrive(0);
             SentAttempt attempt = harness.last();
-            long took = attempt.endpointId() < 104 ? 900 : 300;
-            harness.advance(took);
-            harness.end(attempt, AttemptOutcome.COMMITTED, took);
-            harness.advance(5_000 - took);
+            long durationTicks = attempt.endpointId() < 104 ? 900 : 300;
+            harness.advance(durationTicks);
+            harness.end(attempt, AttemptOutcome.COMMITTED, durationTicks);
+            harness.advance(5_000 - durationTicks);
         }
         for (long id = 100; id < 110; id++) {
             assertEquals(id < 104, harness.loadBalancer.endpoint(id).dropRate().value() > 0.3, "endpoint " + id);
--- a/sidecar/src/test/java/trestlegrade/policy/EndpointSelectorTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/EndpointSelectorTest.java
@@ -15,10 +15,10 @@
 import trestlegrade.policy.random.SeededRandom;
 import trestlegrade.policy.request.AttemptOutcome;
 
-/** The pick: shares by weight, subsets, zones and keys. */
+/** Selection of endpoints: shares by weight, subsets, zones and keys. */
 class EndpointSelectorTest {
 
-    /** Most endpoints fail one profile and commit the other: each profile goes where it is committed. */
+    /** Most endpoints fail one profile and commit the other: each profile goes to endpoints that commit it. */
     @Test
     void profileAvoidsEndpointsThatFailIt() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
@@ -36,14 +36,16 @@
         }
         assertTrue(
                 attempts[2][1] < attempts[2][0] / 8,
-                attempts[2][1] + " of the failing profile at endpoints that fail it");
-        assertTrue(attempts[0][1] > attempts[0][0] / 4, attempts[0][1] + " of the other profile at the same endpoints");
+                attempts[2][1] + " attempts of the failing profile at endpoints that fail it");
+        assertTrue(
+                attempts[0][1] > attempts[0][0] / 4,
+                attempts[0][1] + " attempts of the other profile at the same endpoints");
     }
 
-    /** What fails now and then everywhere alike moves no profile. */
+    /** Occasional failures that are equally common at all endpoints do not move a profile. */
     @ParameterizedTest
     @ValueSource(ints = {10, 20})
-    void occasionalFailuresOfAllMoveNoProfile(int oneIn) {
+    void occasionalFailuresAtAllEndpointsMoveNoProfile(int failureInterval) {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         int[] attempts = new int[10];
         for (int i = 0; i < 3_000; i++) {
@@ -53,31 +55,31 @@
             SentAttempt attempt = harness.last();
             attempts[(int) attempt.endpointId() - 100]++;
             harness.now += 100;
-            harness.end(attempt, i % oneIn == 0 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
+            harness.end(attempt, i % failureInterval == 0 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
         }
         Arrays.sort(attempts);
         assertTrue(attempts[9] < 3 * attempts[0], attempts[0] + " to " + attempts[9]);
     }
 
-    /** Keyed picks follow the ring's arcs: linear positions gave some endpoints three times their part. */
+    /** Keyed selections follow the ring's arcs. With linear positions some endpoints had three times their share. */
     @Test
-    void ringGivesKeysEvenly() {
-        SeededRandom chance = new SeededRandom(1);
+    void ringDistributesKeysEvenly() {
+        SeededRandom random = new SeededRandom(1);
         java.util.TreeMap<Long, Integer> ring = new java.util.TreeMap<>();
         for (int point = 0; point < 1_000; point++) {
-            ring.put(chance.position(100 + point / 100, point % 100), point / 100);
+            ring.put(random.position(100 + point / 100, point % 100), point / 100);
         }
         int[] keys = new int[10];
         for (long key = 1; key <= 10_000; key++) {
-            var next = ring.ceilingEntry(chance.position(key * 0x5DEECE66DL, -1));
+            var next = ring.ceilingEntry(random.position(key * 0x5DEECE66DL, -1));
             keys[next == null ? ring.firstEntry().getValue() : next.getValue()]++;
         }
-        for (int each : keys) {
-            assertEquals(1_000, each, 350);
+        for (int count : keys) {
+            assertEquals(1_000, count, 350);
         }
     }
 
-    /** Shares follow points: an even fleet gets even shares, a half-weight endpoint half of one. */
+    /** Shares follow ring points: equal weights give equal shares, and half the weight gives half a share. */
     @ParameterizedTest
     @CsvSource({"1, 0.1", "0.5, 0.0526", "2, 0.1818"})
     void shareFollowsWeight(double weight, double share) {
@@ -89,28 +91,29 @@
     }
 
     /**
-     * Where connections cost, each sidecar keeps to a few endpoints of a zone, and each endpoint is kept by as many.
+     * If connections have a cost, each sidecar uses a few endpoints of each zone, and each endpoint is used by about
+     * the same sidecar of sidecars.
      */
     @Test
-    void subsetIsAFewOfEachZoneAndEvenOverTheFleet() {
-        int[] keepers = new int[10];
-        for (int number = 0; number < 125; number++) {
-            PolicyHarness harness = new PolicyHarness("fees.connection=0.03", "n_instances=125", "my_number=" + number)
+    void subsetTakesFewEndpointsOfEachZoneEvenlyOverTheFleet() {
+        int[] sidecarsPerEndpoint = new int[10];
+        for (int sidecar = 0; sidecar < 125; sidecar++) {
+            PolicyHarness harness = new PolicyHarness("fees.connection=0.03", "n_instances=125", "my_number=" + sidecar)
                     .fleet(State.READY, 0);
             harness.traffic(8_000, -1, null, 0);
-            long[] kept = harness.sent.stream()
+            long[] subset = harness.sent.stream()
                     .mapToLong(SentAttempt::endpointId)
                     .distinct()
                     .toArray();
-            assertEquals(8, kept.length);
-            assertEquals(4, Arrays.stream(kept).filter(id -> id % 2 == 0).count());
-            for (long id : kept) {
-                keepers[(int) id - 100]++;
+            assertEquals(8, subset.length);
+            assertEquals(4, Arrays.stream(subset).filter(id -> id % 2 == 0).count());
+            for (long id : subset) {
+                sidecarsPerEndpoint[(int) id - 100]++;
             }
         }
-        Arrays.sort(keepers);
-        assertTrue(keepers[9] - keepers[0] <= 5, Arrays.toString(keepers));
-        // A part of one that leaves is made up for.
+        Arrays.sort(sidecarsPerEndpoint);
+        assertTrue(sidecarsPerEndpoint[9] - sidecarsPerEndpoint[0] <= 5, Arrays.toString(sidecarsPerEndpoint));
+        // An endpoint that leaves the subset is replaced.
         PolicyHarness harness = new PolicyHarness("fees.connection=0.03", "n_instances=125").fleet(State.READY, 0);
         harness.traffic(8_000, -1, null, 0);
         harness.update(harness.last().endpointId(), State.DRAINING, 0);
@@ -125,51 +128,56 @@
                         .count());
     }
 
-    /** Where a crossing costs much, picks stay in the own zone until it is crowded; else they go anywhere. */
+    /**
+     * If cross-zone attempts are expensive, selections stay in the local zone until it is overloaded; otherwise they go
+     * to all zones.
+     */
     @ParameterizedTest
     @CsvSource({"0.12, 200, 0, 0", "0.12, 4000, 0.2, 0.9", "0.03, 200, 0.4, 0.6"})
-    void picksStayLocalUntilTheZoneIsOverloaded(double fee, long took, double least, double most) {
-        PolicyHarness harness = new PolicyHarness("fees.cross_zone=" + fee, "zone=1").fleet(State.READY, 0);
+    void selectionsStayLocalUntilTheZoneIsOverloaded(double crossZoneCost, long durationTicks, double min, double max) {
+        PolicyHarness harness = new PolicyHarness("fees.cross_zone=" + crossZoneCost, "zone=1").fleet(State.READY, 0);
         harness.traffic(30_000, -1, null, 0);
         List.copyOf(harness.sent).forEach(attempt -> harness.end(attempt, AttemptOutcome.COMMITTED, 200));
         int before = harness.sent.size();
         for (int i = 0, ended = before; i < 2_000; i++) {
-            long due = harness.now - took;
+            long due = harness.now - durationTicks;
             harness.arrive(0);
             while (harness.sentAt(ended) <= due) {
-                harness.end(harness.sent.get(ended++), AttemptOutcome.COMMITTED, took);
+                harness.end(harness.sent.get(ended++), AttemptOutcome.COMMITTED, durationTicks);
             }
             harness.advance(100);
         }
-        double away = harness.sent.stream()
+        double remoteFraction = harness.sent.stream()
                         .skip(before)
                         .filter(s -> s.endpointId() % 2 == 0)
                         .count()
                 / (double) (harness.sent.size() - before);
-        assertTrue(away >= least && away <= most, "away " + away);
+        assertTrue(remoteFraction >= min && remoteFraction <= max, "remote " + remoteFraction);
     }
 
-    /** A weight that falls with the load is no size: the busy keep their points, and are passed over by keys. */
+    /**
+     * A weight that decreases with the load is not a size: busy endpoints keep their ring points, but keys avoid them.
+     */
     @Test
-    void loadInWeightsMovesKeysAndLeavesPoints() {
+    void reportedLoadMovesKeysAndKeepsRingPoints() {
         PolicyHarness harness = new PolicyHarness("weights=live", "family_info.warm_keys=true").fleet(State.READY, 0);
-        for (int other = 1_000; other < 1_300; other++) {
-            keyed(harness, other);
+        for (int key = 1_000; key < 1_300; key++) {
+            selectByKey(harness, key);
         }
-        long first = keyed(harness, 77);
+        long first = selectByKey(harness, 77);
         harness.loadBalancer.onEndpointUpdates(
                 harness.now, List.of(new EndpointUpdate(first, 0, 0, 0, State.READY, 0.05, 0)), false, false);
-        assertTrue(keyed(harness, 77) != first);
+        assertTrue(selectByKey(harness, 77) != first);
         assertEquals(
                 harness.loadBalancer.endpoint(first == 100 ? 101 : 100).ringPoints(),
                 harness.loadBalancer.endpoint(first).ringPoints());
         assertEquals(1, harness.loadBalancer.endpoint(first).weight());
-        // Half as much each three seconds: left alone, it is taken again.
+        // The reported load halves every 3 s, so the key returns to the endpoint after a time without requests.
         harness.advance(200_000);
-        assertEquals(first, keyed(harness, 77));
+        assertEquals(first, selectByKey(harness, 77));
     }
 
-    private static long keyed(PolicyHarness harness, long key) {
+    private static long selectByKey(PolicyHarness harness, long key) {
         harness.loadBalancer.onArrival(harness.now, harness.nextTransactionId++, 0, 0, key, 10_000, 0);
         SentAttempt attempt = harness.last();
         harness.end(attempt, AttemptOutcome.COMMITTED, 200);
--- a/sidecar/src/test/java/trestlegrade/policy/FairShareTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/FairShareTest.java
@@ -10,7 +10,10 @@
 /** Quotas of customers. */
 class FairShareTest {
 
-    /** Those that the settings do not name are nobody's part but their own, and beyond what is agreed with anybody. */
+    /**
+     * Customers that the settings do not name do not use up the quota of a named one, and are over their own quota of
+     * 0.
+     */
     @Test
     void unnamedCustomersShareNoQuotaWithNamedOnes() {
         PolicyHarness harness = new PolicyHarness("tenants.count=2", "tenants.0.share=0.5", "tenants.1.share=0.5")
--- a/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
@@ -14,30 +14,33 @@
 import trestlegrade.policy.request.AttemptOutcome;
 import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
-/** Load shedding: what counts as overload, and which profiles go first. */
+/** Load shedding: what counts as overload, and which profiles are shed first. */
 class LoadShedderTest {
 
-    /** A sidecar that sees little: while a third of many endpoints are silent the others serve; all silent is a jam. */
+    /**
+     * A sidecar with little traffic: while a third of many endpoints are silent, the others serve. If all are silent,
+     * that counts as congestion.
+     */
     @ParameterizedTest
     @CsvSource({"0, 0, 0", "24, 0, 30", "72, 60, 300"})
-    void silenceOfSomeShedsLittleAndSilenceOfAllShedsMost(int silent, int least, int most) {
+    void silenceOfSomeShedsLittleAndSilenceOfAllShedsMost(int silentEndpoints, int min, int max) {
         PolicyHarness harness = new PolicyHarness();
         for (int i = 0; i < 72; i++) {
             harness.update(100 + i, State.READY, 0);
         }
-        List<SentAttempt> out = new ArrayList<>();
+        List<SentAttempt> inFlight = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             int before = harness.sent.size();
             harness.arrive(2);
-            out.addAll(harness.sent.subList(before, harness.sent.size()));
-            for (int beat = 0; beat < 8; beat++) {
+            inFlight.addAll(harness.sent.subList(before, harness.sent.size()));
+            for (int tick = 0; tick < 8; tick++) {
                 harness.advance(100);
-                for (SentAttempt attempt : List.copyOf(out)) {
+                for (SentAttempt attempt : List.copyOf(inFlight)) {
                     long age = harness.now - harness.sentAt(harness.sent.indexOf(attempt));
-                    boolean mute = i >= 100 && attempt.endpointId() < 100 + silent;
-                    if (age >= (mute ? 10_000 : 1_300)) {
-                        out.remove(attempt);
-                        harness.end(attempt, mute ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMMITTED, age);
+                    boolean silent = i >= 100 && attempt.endpointId() < 100 + silentEndpoints;
+                    if (age >= (silent ? 10_000 : 1_300)) {
+                        inFlight.remove(attempt);
+                        harness.end(attempt, silent ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMMITTED, age);
                     }
                 }
             }
@@ -45,10 +48,10 @@
         long dropped = harness.answers.stream()
                 .filter(answer -> answer.rejection() == Rejection.ROLLED_BACK)
                 .count();
-        assertTrue(dropped >= least && dropped <= most, dropped + " rolled back");
+        assertTrue(dropped >= min && dropped <= max, dropped + " rolled back");
     }
 
-    /** Attempts stuck at one endpoint are no sign that all endpoints are overloaded. */
+    /** Attempts stuck at one endpoint do not indicate that all endpoints are overloaded. */
     @Test
     void attemptsStuckAtOneEndpointShedNothing() {
         PolicyHarness harness = new PolicyHarness(DeduplicationScope.ALL, 3).fleet(State.READY, 0);
@@ -58,9 +61,12 @@
         assertTrue(harness.loadBalancer.endpoint(103).ejection().isEjected());
     }
 
-    /** A jam (everything takes far longer than it can) ends arrivals early, and the end of it lets them in. */
+    /**
+     * During congestion (attempts take far longer than without queueing) arrivals are shed early, and afterwards they
+     * are admitted again.
+     */
     @Test
-    void arrivalsAreShedInAJamAndAdmittedAfterIt() {
+    void arrivalsAreShedDuringCongestionAndAdmittedAfterIt() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         harness.traffic(30_000, -1, null, 0);
         assertEquals(0, harness.answers.size());
@@ -80,18 +86,21 @@
         assertEquals(before, harness.answers.size());
     }
 
-    /** In a jam the profile with the least revenue goes first, unless the goal counts the worst-served one. */
+    /**
+     * During congestion the profile with the least revenue is shed first, unless the goal counts the worst-served one.
+     */
     @ParameterizedTest
     @CsvSource({"0, true", "1, false"})
-    void leastRevenueIsShedFirstUnlessTheWorstProfileCounts(double worst, boolean apart) {
-        PolicyHarness harness = new PolicyHarness("goal.whole=1", "goal.worst_class=" + worst).fleet(State.READY, 0);
+    void leastRevenueIsShedFirstUnlessTheWorstProfileCounts(double worstClassWeight, boolean leastRevenueFirst) {
+        PolicyHarness harness =
+                new PolicyHarness("goal.whole=1", "goal.worst_class=" + worstClassWeight).fleet(State.READY, 0);
         harness.traffic(30_000, -1, null, 0);
-        int[] passed = new int[3];
+        int[] admitted = new int[3];
         for (int i = 0; i < 3_000; i++) {
             int before = harness.sent.size();
             int profile = i % 2 * 2;
             harness.arrive(profile);
-            passed[profile] += harness.sent.size() - before;
+            admitted[profile] += harness.sent.size() - before;
             if (i % 2 == 1) {
                 harness.advance(100);
                 harness.sent.stream()
@@ -101,7 +110,7 @@
                         .forEach(s -> harness.end(s, AttemptOutcome.COMMITTED, 1_400));
             }
         }
-        assertTrue(passed[2] > 100);
-        assertEquals(apart, passed[0] < 0.8 * passed[2], passed[0] + " and " + passed[2]);
+        assertTrue(admitted[2] > 100);
+        assertEquals(leastRevenueFirst, admitted[0] < 0.8 * admitted[2], admitted[0] + " and " + admitted[2]);
     }
 }
--- a/sidecar/src/test/java/trestlegrade/policy/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/OutlierEjectionTest.java
@@ -11,18 +11,19 @@
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 import trestlegrade.policy.request.AttemptOutcome;
 
-/** Ejection of endpoints that fall silent or fail, and their half-open probes. */
+/** Ejection of endpoints that are silent or fail, and their half-open probes. */
 class OutlierEjectionTest {
 
-    /** An endpoint that falls silent, fails at once or takes no connection is ejected early and taken back after. */
+    /** An endpoint that falls silent, fails at once or accepts no connection is ejected early and reinstated later. */
     @ParameterizedTest
     @CsvSource({", 0, 60", "ERROR, 20, 60", "BROKEN, 20, 60", "NO_CONNECTION, 1200, 60"})
-    void silentOrFailingEndpointIsEjectedEarlyAndTakenBack(AttemptOutcome outcome, long took, int most) {
+    void silentOrFailingEndpointIsEjectedEarlyAndReinstated(
+            AttemptOutcome outcome, long durationTicks, int maxAttempts) {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         harness.traffic(20_000, -1, null, 0);
-        int attempts = harness.traffic(50_000, 103, outcome, took);
+        int attempts = harness.traffic(50_000, 103, outcome, durationTicks);
         assertTrue(harness.loadBalancer.endpoint(103).ejection().isEjected());
-        assertTrue(attempts <= most, "still got " + attempts + " of about 2500 attempts");
+        assertTrue(attempts <= maxAttempts, "still got " + attempts + " of about 2500 attempts");
         for (SentAttempt each : List.copyOf(harness.sent)) {
             if (each.endpointId() == 103) {
                 harness.end(each, AttemptOutcome.CANCELLED, 1);
@@ -30,14 +31,16 @@
         }
         harness.traffic(100_000, 103, AttemptOutcome.COMMITTED, 200);
         assertFalse(harness.loadBalancer.endpoint(103).ejection().isEjected());
-        int back = harness.traffic(20_000, 103, AttemptOutcome.COMMITTED, 200);
-        assertTrue(back > 30, "only " + back + " of about 100 attempts");
+        int attemptsAfterwards = harness.traffic(20_000, 103, AttemptOutcome.COMMITTED, 200);
+        assertTrue(attemptsAfterwards > 30, "only " + attemptsAfterwards + " of about 100 attempts");
     }
 
-    /** Ejected endpoints take no more than a small part of a small sidecar's transactions as probes. */
+    /**
+     * Probes of ejected endpoints use at most a small fraction of the transactions of a sidecar with little traffic.
+     */
     @Test
     @SuppressWarnings("ReferenceEquality") // Whether a further attempt was sent, not whether it is like the last.
-    void probesAreASmallPartOfFirstAttempts() {
+    void probesAreASmallFractionOfFirstAttempts() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         for (int i = 0; i < 600; i++) {
             harness.arrive(0);
@@ -48,13 +51,13 @@
             }
             harness.advance(4_400);
         }
-        long late = harness.sent.stream()
+        long probes = harness.sent.stream()
                 .filter(s -> s.transactionId() > 300 && s.number() == 0 && s.endpointId() < 104)
                 .count();
-        assertTrue(late > 0 && late < 30, late + " of 300 first attempts went to failing endpoints");
+        assertTrue(probes > 0 && probes < 30, probes + " of 300 first attempts went to failing endpoints");
     }
 
-    /** Losing most of the fleet to silence leaves a third of it in use. */
+    /** If most of the fleet falls silent, a third of it stays in use. */
     @Test
     void aThirdOfTheWeightIsNeverEjected() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
--- a/sidecar/src/test/java/trestlegrade/policy/RetryPolicyTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/RetryPolicyTest.java
@@ -13,31 +13,34 @@
 import trestlegrade.policy.request.AttemptOutcome;
 import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
-/** Rule 2: what may be sent again, and what the client may be told. */
+/** Rule 2: what may be sent again, and what the client may be notified of. */
 class RetryPolicyTest {
 
-    /** After one attempt has ended so: sent again anywhere, within the group, or ended how. */
+    /**
+     * After the first attempt has ended with the outcome, the transaction is resent to any endpoint, resent within the
+     * deduplication scope, or abandoned.
+     */
     @ParameterizedTest
     @CsvSource({
-        "0, CELL, ERROR,         again",
-        "0, CELL, NO_CONNECTION, again",
-        "0, CELL, REJECTED,   again",
-        "0, CELL, BROKEN,        again",
-        "1, CELL, ERROR,         group",
-        "1, ZONE, BROKEN,        group",
-        "1, ALL,  BROKEN,        again",
-        "1, CELL, NO_CONNECTION, again",
+        "0, CELL, ERROR,         resent",
+        "0, CELL, NO_CONNECTION, resent",
+        "0, CELL, REJECTED,   resent",
+        "0, CELL, BROKEN,        resent",
+        "1, CELL, ERROR,         resent in scope",
+        "1, ZONE, BROKEN,        resent in scope",
+        "1, ALL,  BROKEN,        resent",
+        "1, CELL, NO_CONNECTION, resent",
         "2, CELL, ERROR,         abandoned",
         "2, ALL,  BROKEN,        abandoned",
         "2, CELL, TIMED_OUT,     abandoned",
         "2, CELL, CANCELLED,    abandoned",
-        "2, CELL, NO_CONNECTION, again",
-        "2, CELL, NOT_SENT,      again",
+        "2, CELL, NO_CONNECTION, resent",
+        "2, CELL, NOT_SENT,      resent",
     })
     void retryGoesOnlyWhereTheProfileAllows(
-            int profile, DeduplicationScope group, AttemptOutcome outcome, String expected) {
+            int profile, DeduplicationScope scope, AttemptOutcome outcome, String expected) {
         for (int round = 0; round < 20; round++) {
-            PolicyHarness harness = new PolicyHarness(group, 3).fleet(State.READY, 0);
+            PolicyHarness harness = new PolicyHarness(scope, 3).fleet(State.READY, 0);
             long id = harness.arrive(profile);
             SentAttempt first = harness.last();
             harness.now += 100;
@@ -49,17 +52,20 @@
             }
             assertEquals(2, harness.sent.size());
             assertEquals(List.of(), harness.answers);
-            if (expected.equals("group")) {
-                long again = harness.last().endpointId();
+            if (expected.equals("resent in scope")) {
+                long second = harness.last().endpointId();
                 assertTrue(
-                        group == DeduplicationScope.CELL
-                                ? (first.endpointId() - 100) / 2 == (again - 100) / 2
-                                : first.endpointId() % 2 == again % 2);
+                        scope == DeduplicationScope.CELL
+                                ? (first.endpointId() - 100) / 2 == (second - 100) / 2
+                                : first.endpointId() % 2 == second % 2);
             }
         }
     }
 
-    /** A journalled transaction that may have run is neither resent past its window nor rolled back. */
+    /**
+     * A transaction that is idempotent by key and may have run is neither resent after its deduplication window nor
+     * rolled back.
+     */
     @Test
     void windowCountsFromTheFirstAttemptThatMayHaveRun() {
         PolicyHarness harness = new PolicyHarness(DeduplicationScope.CELL, 3).fleet(State.READY, 0);
@@ -70,10 +76,13 @@
         assertEquals(List.of(FinalAnswer.abandoned(9)), harness.answers);
     }
 
-    /** A lost attempt is cancelled, and only its end brings a retry: there are never two in flight at once. */
+    /**
+     * An attempt at an ejected endpoint is cancelled, and the retry follows only when it has ended, so that two are
+     * never in flight at once.
+     */
     @ParameterizedTest
     @CsvSource({"0, true, 2", "1, true, 2", "2, true, 1", "0, false, 1"})
-    void lostAttemptIsCancelledBeforeItsRetry(int profile, boolean cancelling, int attempts) {
+    void attemptAtEjectedEndpointIsCancelledBeforeItsRetry(int profile, boolean cancelling, int attempts) {
         PolicyHarness harness =
                 new PolicyHarness(DeduplicationScope.ALL, 3, "ceilings.cancelling=" + cancelling).fleet(State.READY, 0);
         harness.traffic(20_000, -1, null, 0);
@@ -90,9 +99,12 @@
         assertEquals(before + attempts, harness.sent.size());
     }
 
-    /** What a sidecar that has just started learnt first was a light one: heavier ones still go further. */
+    /**
+     * A cheap first transaction must not dominate the estimates of a sidecar that has just started: a more expensive
+     * one is still retried.
+     */
     @Test
-    void oneCheapTransactionIsNoMeasureOfOthers() {
+    void cheapFirstTransactionDoesNotDominateEstimates() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         long[] costs = {50, 1_000, 1_000, 1_000, 1_300};
         for (int i = 0; i < costs.length; i++) {
--- a/sidecar/src/test/java/trestlegrade/policy/SlowStartBudgetTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/SlowStartBudgetTest.java
@@ -9,16 +9,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 
-/** Rule 4: a cold endpoint is not pushed, and a cold fleet still serves. */
+/** Rule 4: a cold endpoint is not overloaded, and a cold fleet still serves requests. */
 class SlowStartBudgetTest {
 
     /**
-     * A cold endpoint among warm ones, under a burst of ten times the usual: in no span of the rule's length does it
-     * get more than this sidecar's part of what the rule allows. Warm ones carried 50 attempts/s each.
+     * A cold endpoint among warm ones, under a burst of ten times the usual traffic: within the span of the rule it
+     * never gets more than this sidecar's share of what the rule allows. The warm endpoints served 50 attempts/s each.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void coldEndpointIsNotPushed(boolean restarted) {
+    void coldEndpointIsNotOverloaded(boolean restarted) {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         harness.traffic(100_000, -1, null, 0);
         long id = restarted ? 104 : 200;
--- a/sidecar/src/test/java/trestlegrade/policy/SlowStartFleetTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/SlowStartFleetTest.java
@@ -20,73 +20,78 @@
 import trestlegrade.policy.request.RejectionReason;
 
 /**
- * Rule 4 over a fleet: as many sidecars as are named decide on one virtual clock, none knowing of the others, and what
- * a cold server gets from all of them within the rule's time is counted against what it may get then.
+ * Rule 4 over a fleet. Sidecars decide on one virtual clock without knowledge of each other. The attempts that all of
+ * them together send to a cold endpoint within the span of the rule are compared with what the endpoint can take.
  */
 class SlowStartFleetTest {
-    // Tenths of a millisecond, as everywhere.
+    // Ticks of 0.1 ms.
     private static final long SECOND = 10_000;
-    private static final double WORK = 800;
-    private static final double COLD_FROM = 0.15;
-    private static final long COLD = 9 * SECOND;
-    private static final double MULTIPLE = 2;
-    private static final long FALL = 2 * SECOND;
-    /** So many sidecars take half a minute for one seed. */
-    private static final int MANY = 1_000;
-    /** More by hand, for the distribution: -Dcold.seeds=1000. */
+    private static final double WORK_TICKS = 800;
+    private static final double INITIAL_CAPACITY_FRACTION = 0.15;
+    private static final long WARM_UP_TICKS = 9 * SECOND;
+    private static final double CRASH_MULTIPLE = 2;
+    private static final long CRASH_TICKS = 2 * SECOND;
+    /** With this many sidecars one seed takes half a minute. */
+    private static final int LARGE_FLEET = 1_000;
+    /** For the distribution, more seeds can be run by hand: -Dcold.seeds=1000. */
     private static final int SEEDS = Integer.getInteger("cold.seeds", 2);
 
-    private record Event(long at, long order, Runnable what) {}
+    private record Event(long at, long order, Runnable action) {}
 
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    private final Map<Long, Deque<Long>> got = new HashMap<>();
+    private final Map<Long, Deque<Long>> sentByEndpoint = new HashMap<>();
     private final Map<Long, Long> launched = new HashMap<>();
-    private double most;
-    private String worst = "";
+    private double maxLoadRatio;
+    private String worstCase = "";
     private long now = 1_000_000;
     private long order;
     private int cores;
     private Random random;
 
-    private void in(double span, Runnable what) {
-        events.add(new Event(now + Math.max(1, (long) span), order++, what));
+    private void schedule(double delay, Runnable action) {
+        events.add(new Event(now + Math.max(1, (long) delay), order++, action));
     }
 
-    private void pass(long span) {
-        long end = now + span;
+    private void runFor(long duration) {
+        long end = now + duration;
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event next = events.poll();
             now = next.at();
-            next.what().run();
+            next.action().run();
         }
         now = end;
     }
 
     private double slowStartFraction(long endpoint) {
-        return Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - launched.getOrDefault(endpoint, -COLD)) / COLD);
+        return Math.min(
+                1,
+                INITIAL_CAPACITY_FRACTION
+                        + (1 - INITIAL_CAPACITY_FRACTION)
+                                * (now - launched.getOrDefault(endpoint, -WARM_UP_TICKS))
+                                / WARM_UP_TICKS);
     }
 
     private final class Sidecar implements PolicyActions {
-        private final int number;
+        private final int index;
         private final int sidecars;
         private final double rate;
         private LoadBalancer loadBalancer;
-        private long nextTx = 1;
+        private long nextTransactionId = 1;
         private final Map<Long, Integer> attempts = new HashMap<>();
 
-        Sidecar(int number, int sidecars, double rate) {
-            this.number = number;
+        Sidecar(int index, int sidecars, double rate) {
+            this.index = index;
             this.sidecars = sidecars;
             this.rate = rate;
             start();
-            in(-Math.log(1 - random.nextDouble()) * SECOND / rate, this::arrive);
+            schedule(-Math.log(1 - random.nextDouble()) * SECOND / rate, this::arrive);
         }
 
-        /** A process that knows nothing of one before it under its name. */
+        /** Starts a process that has no state of its predecessor under the same number. */
         private void start() {
             loadBalancer = new LoadBalancer(
-                    PolicySettingsReader.ofLines("n_instances=" + sidecars + "\nmy_number=" + number + """
+                    PolicySettingsReader.ofLines("n_instances=" + sidecars + "\nmy_number=" + index + """
 
                     ceilings.cancelling=true
                     ceilings.max_hops=3
@@ -105,68 +110,71 @@
             loadBalancer.start(now);
         }
 
-        void restart(List<EndpointUpdate> rows) {
+        void restart(List<EndpointUpdate> updates) {
             start();
-            loadBalancer.onEndpointUpdates(now, rows, true, true);
+            loadBalancer.onEndpointUpdates(now, updates, true, true);
         }
 
         private void arrive() {
-            loadBalancer.onArrival(now, nextTx++, 0, 0, 0, 15_000, 0);
-            in(-Math.log(1 - random.nextDouble()) * SECOND / (rate * busier), this::arrive);
+            loadBalancer.onArrival(now, nextTransactionId++, 0, 0, 0, 15_000, 0);
+            schedule(-Math.log(1 - random.nextDouble()) * SECOND / (rate * trafficMultiple), this::arrive);
         }
 
         @Override
-        public void send(long tx, long endpoint, long timeout, long writtenBefore) {
-            int attempt = attempts.merge(tx, 1, Integer::sum) - 1;
-            count(endpoint);
-            double took = WORK * (0.5 + random.nextDouble()) / slowStartFraction(endpoint);
+        public void send(long transactionId, long endpoint, long timeoutTicks, long writeBefore) {
+            int attempt = attempts.merge(transactionId, 1, Integer::sum) - 1;
+            recordAttempt(endpoint);
+            double durationTicks = WORK_TICKS * (0.5 + random.nextDouble()) / slowStartFraction(endpoint);
             LoadBalancer sender = loadBalancer;
-            in(took, () -> sender.onAttemptEnded(now, tx, attempt, AttemptOutcome.COMMITTED, (long) took, true));
+            schedule(
+                    durationTicks,
+                    () -> sender.onAttemptEnded(
+                            now, transactionId, attempt, AttemptOutcome.COMMITTED, (long) durationTicks, true));
         }
 
         @Override
-        public void cancel(long tx, int attempt) {}
+        public void cancel(long transactionId, int attempt) {}
 
         @Override
-        public void rollBack(long tx, long pause, RejectionReason why) {}
+        public void rollBack(long transactionId, long retryAfterTicks, RejectionReason reason) {}
 
         @Override
-        public void abandon(long tx, RejectionReason why) {}
+        public void abandon(long transactionId, RejectionReason reason) {}
 
         @Override
-        public void scheduleTick(long span) {
-            LoadBalancer woken = loadBalancer;
-            in((double) span, () -> woken.onTick(now));
+        public void scheduleTick(long delayTicks) {
+            LoadBalancer scheduled = loadBalancer;
+            schedule((double) delayTicks, () -> scheduled.onTick(now));
         }
 
         @Override
         public void subscribe() {}
     }
 
-    private double busier = 1;
+    private double trafficMultiple = 1;
 
-    private void count(long endpoint) {
+    private void recordAttempt(long endpoint) {
         if (!launched.containsKey(endpoint)) {
             return;
         }
-        Deque<Long> lately = got.computeIfAbsent(endpoint, s -> new ArrayDeque<>());
-        lately.addLast(now);
-        while (lately.peekFirst() <= now - FALL) {
-            lately.removeFirst();
+        Deque<Long> recentAttempts = sentByEndpoint.computeIfAbsent(endpoint, s -> new ArrayDeque<>());
+        recentAttempts.addLast(now);
+        while (recentAttempts.peekFirst() <= now - CRASH_TICKS) {
+            recentAttempts.removeFirst();
         }
-        double allowed = MULTIPLE * slowStartFraction(endpoint) * cores * FALL / WORK;
-        double part = lately.size() / (allowed + 2 * Math.sqrt(allowed) + 2);
-        if (part > most) {
-            most = part;
-            worst = "%d in the time in which %.1f are allowed, %d ms after the start"
-                    .formatted(lately.size(), allowed, (now - launched.get(endpoint)) / 10);
+        double allowed = CRASH_MULTIPLE * slowStartFraction(endpoint) * cores * CRASH_TICKS / WORK_TICKS;
+        double loadRatio = recentAttempts.size() / (allowed + 2 * Math.sqrt(allowed) + 2);
+        if (loadRatio > maxLoadRatio) {
+            maxLoadRatio = loadRatio;
+            worstCase = "%d attempts within the span in which %.1f are allowed, %d ms after the start"
+                    .formatted(recentAttempts.size(), allowed, (now - launched.get(endpoint)) / 10);
         }
     }
 
     /**
-     * {@code known}: whether the sidecars have seen the warm servers before; else they have just started as well.
-     * Traffic is uneven (the busiest has several times the mean), and twice as much comes once cold servers join.
-     * {@code restarted}: that part of the sidecars starts anew in the midst of the ramp, within half a second.
+     * {@code known}: whether the sidecars have used the warm endpoints before; otherwise they have just started as
+     * well. Traffic is uneven (the busiest sidecar has several times the mean), and it doubles when the cold endpoints
+     * join. {@code restarted}: the fraction of the sidecars that restart during the ramp-up, within half a second.
      */
     @ParameterizedTest
     @CsvSource({
@@ -189,22 +197,22 @@
         "120, 60, 20, 4, true, 0.7",
         "1000, 250, 40, 4, true, 0.7"
     })
-    void coldServersAreNotPushedByAllTogether(
+    void coldEndpointsAreNotOverloadedByTheWholeFleet(
             int sidecars, int warm, int cold, int cores, boolean known, double restarted) {
-        List<Double> worsts = new ArrayList<>();
-        int seeds = sidecars < MANY ? SEEDS : Math.max(1, SEEDS / 2);
+        List<Double> maxLoadRatios = new ArrayList<>();
+        int seeds = sidecars < LARGE_FLEET ? SEEDS : Math.max(1, SEEDS / 2);
         for (int seed = 1; seed <= seeds; seed++) {
-            play(seed, sidecars, warm, cold, cores, known, restarted);
-            worsts.add(most);
-            assertTrue(most <= 1 || SEEDS > 2, "seed " + seed + ": " + worst);
-            assertTrue(got.size() == cold, "cold servers must warm up");
+            simulate(seed, sidecars, warm, cold, cores, known, restarted);
+            maxLoadRatios.add(maxLoadRatio);
+            assertTrue(maxLoadRatio <= 1 || SEEDS > 2, "seed " + seed + ": " + worstCase);
+            assertTrue(sentByEndpoint.size() == cold, "cold endpoints must warm up");
         }
         if (SEEDS > 2) {
-            worsts.sort(null);
-            long over = worsts.stream().filter(each -> each > 1).count();
+            maxLoadRatios.sort(null);
+            long over = maxLoadRatios.stream().filter(each -> each > 1).count();
             System.out.printf(
-                    "cold servers: %d sidecars, %d warm, %d cold, %d cores, known %b, restarted %.1f: %d of %d over, "
-                            + "median %.2f, nine in ten %.2f, most %.2f%n",
+                    "cold endpoints: %d sidecars, %d warm, %d cold, %d cores, known %b, restarted %.1f: "
+                            + "%d of %d over the limit, median %.2f, p90 %.2f, max %.2f%n",
                     sidecars,
                     warm,
                     cold,
@@ -213,54 +221,54 @@
                     restarted,
                     over,
                     seeds,
-                    worsts.get(seeds / 2),
-                    worsts.get(seeds * 9 / 10),
-                    worsts.get(seeds - 1));
-            assertTrue(over == 0, over + " seeds over");
+                    maxLoadRatios.get(seeds / 2),
+                    maxLoadRatios.get(seeds * 9 / 10),
+                    maxLoadRatios.get(seeds - 1));
+            assertTrue(over == 0, over + " seeds over the limit");
         }
     }
 
-    private void play(int seed, int sidecars, int warm, int cold, int cores, boolean known, double restarted) {
+    private void simulate(int seed, int sidecars, int warm, int cold, int cores, boolean known, double restarted) {
         events.clear();
-        got.clear();
+        sentByEndpoint.clear();
         launched.clear();
-        most = 0;
-        busier = 1;
+        maxLoadRatio = 0;
+        trafficMultiple = 1;
         this.cores = cores;
         random = new Random(seed);
-        double[] parts =
+        double[] rates =
                 random.doubles(sidecars).map(u -> -Math.log(1 - u) + 0.2).toArray();
-        double whole = java.util.Arrays.stream(parts).sum();
-        double rate = 0.7 * warm * cores * SECOND / WORK;
-        List<EndpointUpdate> rows = new ArrayList<>();
+        double rateSum = java.util.Arrays.stream(rates).sum();
+        double totalRate = 0.7 * warm * cores * SECOND / WORK_TICKS;
+        List<EndpointUpdate> updates = new ArrayList<>();
         for (int i = 0; i < warm; i++) {
-            rows.add(new EndpointUpdate(100 + i, 0, 0, 0, State.READY, 1, 0));
+            updates.add(new EndpointUpdate(100 + i, 0, 0, 0, State.READY, 1, 0));
         }
         List<Sidecar> fleet = new ArrayList<>();
         Runnable start = () -> {
             for (int i = 0; i < sidecars; i++) {
-                fleet.add(new Sidecar(i, sidecars, rate * parts[i] / whole));
+                fleet.add(new Sidecar(i, sidecars, totalRate * rates[i] / rateSum));
             }
         };
         if (known) {
             start.run();
-            fleet.forEach(each -> each.loadBalancer.onEndpointUpdates(now, rows, true, true));
-            pass(12 * SECOND);
+            fleet.forEach(each -> each.loadBalancer.onEndpointUpdates(now, updates, true, true));
+            runFor(12 * SECOND);
         }
         for (int i = 0; i < cold; i++) {
             launched.put(10_000L + i, now);
-            rows.add(new EndpointUpdate(10_000 + i, 0, 0, 0, State.READY, 1, now));
+            updates.add(new EndpointUpdate(10_000 + i, 0, 0, 0, State.READY, 1, now));
         }
-        busier = 2;
+        trafficMultiple = 2;
         if (!known) {
             start.run();
         }
-        fleet.forEach(
-                each -> in(random.nextInt(5_000), () -> each.loadBalancer.onEndpointUpdates(now, rows, true, !known)));
-        pass(3 * SECOND);
+        fleet.forEach(each ->
+                schedule(random.nextInt(5_000), () -> each.loadBalancer.onEndpointUpdates(now, updates, true, !known)));
+        runFor(3 * SECOND);
         fleet.stream()
                 .filter(each -> random.nextDouble() < restarted)
-                .forEach(each -> in(random.nextInt(5_000), () -> each.restart(rows)));
-        pass(7 * SECOND);
+                .forEach(each -> schedule(random.nextInt(5_000), () -> each.restart(updates)));
+        runFor(7 * SECOND);
     }
 }
