--- a/sidecar/src/test/java/trestlegrade/policy/DropRateGraderTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/DropRateGraderTest.java
@@ -42,7 +42,8 @@
         harness.runTraffic(300_000, 103, AttemptOutcome.COMMITTED, 800);
         assertEquals(1, harness.loadBalancer.endpoint(103).dropRate().value());
         assertTrue(
-                harness.runTraffic(100_000, 103, AttemptOutcome.COMMITTED, 800) > 0, "one ring point still gets attempts");
+                harness.runTraffic(100_000, 103, AttemptOutcome.COMMITTED, 800) > 0,
+                "one ring point still gets attempts");
         harness.advance(360_000);
         assertEquals(0.5, harness.loadBalancer.endpoint(103).dropRate().value(), 0.3, "drop rate after few calls");
         harness.advance(150_000);
--- a/sidecar/src/test/java/trestlegrade/policy/EndpointSelectorTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/EndpointSelectorTest.java
@@ -55,7 +55,8 @@
             SentAttempt attempt = harness.lastAttempt();
             attempts[(int) attempt.endpointId() - 100]++;
             harness.now += 100;
-            harness.endAttempt(attempt, i % failureInterval == 0 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
+            harness.endAttempt(
+                    attempt, i % failureInterval == 0 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
         }
         Arrays.sort(attempts);
         assertTrue(attempts[9] < 3 * attempts[0], attempts[0] + " to " + attempts[9]);
