--- a/lab/src/main/java/trestlegrade/lab/MachineLateness.java
+++ b/lab/src/main/java/trestlegrade/lab/SchedulingDelayMonitor.java
@@ -3,10 +3,10 @@
 import java.util.function.LongConsumer;
 
 /** Tells how late a thread is that only sleeps: by so much the machine stood still, or had no processor for it. */
-public final class MachineLateness {
+public final class SchedulingDelayMonitor {
     private static final long TICK_MILLISECONDS = 5;
 
-    private MachineLateness() {}
+    private SchedulingDelayMonitor() {}
 
     /** Tells of each lateness in nanoseconds that is over the usual one, until the thread is interrupted. */
     public static void watch(long usual, LongConsumer late) throws InterruptedException {
--- a/lab/src/main/java/trestlegrade/lab/soak/Auditor.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Auditor.java
@@ -22,7 +22,7 @@
 
     private final List<Event> events;
     private final RunHistory history;
-    private final List<RuleBreach> breaches = new ArrayList<>();
+    private final List<RuleViolation> breaches = new ArrayList<>();
 
     Auditor(List<Event> events) {
         this.events = events;
@@ -30,7 +30,7 @@
     }
 
     /** All breaches of the rules, request by request, and those of processes behind them. */
-    List<RuleBreach> audit() {
+    List<RuleViolation> audit() {
         history.requests().forEach((id, request) -> {
             if (request.sent != null) {
                 answered(id, request);
@@ -187,13 +187,13 @@
 
     private void processBreach(AuditRule rule, String sidecar, String what, boolean fine, Event event) {
         if (!fine) {
-            breaches.add(new RuleBreach(rule, sidecar, what, List.of(history.line(event))));
+            breaches.add(new RuleViolation(rule, sidecar, what, List.of(history.line(event))));
         }
     }
 
     private void breach(AuditRule rule, String id, RequestHistory request, String what, boolean fine) {
         if (!fine) {
-            breaches.add(new RuleBreach(rule, id, what, history.story(request)));
+            breaches.add(new RuleViolation(rule, id, what, history.story(request)));
         }
     }
 
--- a/lab/src/main/java/trestlegrade/lab/soak/EventRecorder.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/EventRecorder.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import trestlegrade.lab.MachineLateness;
+import trestlegrade.lab.SchedulingDelayMonitor;
 
 /** Collects events from all threads of a run. */
 final class EventRecorder {
@@ -29,7 +29,7 @@
     void watchMachine(BackgroundTasks background) {
         background.run(
                 "machine-lateness",
-                () -> MachineLateness.watch(
+                () -> SchedulingDelayMonitor.watch(
                         USUAL_LATENESS, late -> add(new Event.MachineLate(System.nanoTime(), late))));
     }
 }
--- a/lab/src/main/java/trestlegrade/lab/soak/Shrinker.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Shrinker.java
@@ -37,6 +37,6 @@
 
     private boolean breaks(FaultPlan plan) throws IOException, InterruptedException {
         playsLeft--;
-        return Soak.play(plan, program).breaches().stream().anyMatch(each -> each.rule() == rule);
+        return Soak.run(plan, program).violations().stream().anyMatch(each -> each.rule() == rule);
     }
 }
--- a/lab/src/main/java/trestlegrade/lab/soak/Soak.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/Soak.java
@@ -37,22 +37,22 @@
             int requests,
             int attempts,
             long served,
-            List<RuleBreach> breaches,
+            List<RuleViolation> violations,
             long machineLateMilliseconds) {}
 
     /** Plays the plan of a seed; the program is the root of a project that was built. */
-    public static Result play(long seed, int milliseconds, int sidecars, int servers, Path program)
+    public static Result run(long seed, int milliseconds, int sidecars, int servers, Path program)
             throws IOException, InterruptedException {
-        return play(FaultPlan.draw(seed, milliseconds, sidecars, servers), program.toAbsolutePath());
+        return run(FaultPlan.draw(seed, milliseconds, sidecars, servers), program.toAbsolutePath());
     }
 
     /** Plays a plan that was drawn before. */
-    static Result play(FaultPlan plan, Path program) throws IOException, InterruptedException {
+    static Result run(FaultPlan plan, Path program) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("soak-" + plan.seed() + "-");
-        return new Soak(plan, folder, program).run();
+        return new Soak(plan, folder, program).execute();
     }
 
-    private Result run() throws IOException, InterruptedException {
+    private Result execute() throws IOException, InterruptedException {
         Thread atExit = new Thread(() -> sidecars.forEach(SidecarProcess::close));
         Runtime.getRuntime().addShutdownHook(atExit);
         try {
@@ -108,7 +108,7 @@
     private Result result() {
         List<Event> events = recorder.events();
         Auditor auditor = new Auditor(events);
-        List<RuleBreach> breaches = auditor.audit();
+        List<RuleViolation> violations = auditor.audit();
         long served = events.stream()
                 .filter(each -> each instanceof Event.AnswerRead answer && answer.status() == 200)
                 .count();
@@ -124,7 +124,7 @@
                 auditor.requests(),
                 auditor.attempts(),
                 served,
-                breaches,
+                violations,
                 TimeUnit.NANOSECONDS.toMillis(late));
     }
 }
--- a/lab/src/main/java/trestlegrade/lab/soak/SoakCommand.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SoakCommand.java
@@ -63,7 +63,7 @@
         int breaches = 0;
         for (long each = seed; each < seed + runs; each++) {
             FaultPlan plan = FaultPlan.draw(each, seconds * 1_000, processes, servers);
-            Soak.Result result = Soak.play(plan, program.toAbsolutePath());
+            Soak.Result result = Soak.run(plan, program.toAbsolutePath());
             System.out.printf(
                     "%d %d %d %d %d %d %d %d%n",
                     each,
@@ -72,14 +72,14 @@
                     result.requests(),
                     result.attempts(),
                     result.served(),
-                    result.breaches().size(),
+                    result.violations().size(),
                     result.machineLateMilliseconds());
-            result.breaches().stream().limit(PRINTED_BREACHES).forEach(System.out::println);
-            breaches += result.breaches().size();
-            if (shrink && !result.breaches().isEmpty()) {
+            result.violations().stream().limit(PRINTED_BREACHES).forEach(System.out::println);
+            breaches += result.violations().size();
+            if (shrink && !result.violations().isEmpty()) {
                 FaultPlan smallest = new Shrinker(
                                 program.toAbsolutePath(),
-                                result.breaches().get(0).rule(),
+                                result.violations().get(0).rule(),
                                 SHRINKING_PLAYS)
                         .shrink(plan);
                 System.out.println("smallest: " + smallest.faults());
--- a/lab/src/main/java/trestlegrade/lab/soak/SystemCallShim.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SystemCallShim.java
@@ -58,9 +58,9 @@
     }
 
     /** A rate: each call. */
-    public static final int ALL = 1_000;
+    public static final int ALL_CALLS = 1_000;
     /** A rate: of the calls to come the first alone. */
-    public static final int NEXT = -1;
+    public static final int NEXT_CALL = -1;
 
     private final MappedByteBuffer control;
     private final Path file;
--- a/lab/src/test/java/trestlegrade/lab/soak/AuditorTest.java
+++ b/lab/src/test/java/trestlegrade/lab/soak/AuditorTest.java
@@ -190,12 +190,12 @@
             events.add(new Event.AnswerRead(at + 20 * MS, id, 200, id + "|other"));
         }
         events.sort(Comparator.comparingLong(Event::at));
-        List<RuleBreach> found = new Auditor(events).audit();
+        List<RuleViolation> found = new Auditor(events).audit();
         assertEquals(
                 rule == null ? List.of() : List.of(rule),
-                found.stream().map(RuleBreach::rule).toList(),
+                found.stream().map(RuleViolation::rule).toList(),
                 found::toString);
-        for (RuleBreach each : found) {
+        for (RuleViolation each : found) {
             boolean process = each.rule() == AuditRule.PROCESS || each.rule() == AuditRule.HALF_REQUEST;
             assertEquals(process ? "n0" : "x", each.id());
         }
--- a/sidecar/src/test/java/trestlegrade/integration/SoakIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SoakIT.java
@@ -22,8 +22,8 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 22, 30})
     void noRuleIsBroken(long seed) throws Exception {
-        Soak.Result result = Soak.play(seed, MILLISECONDS, SIDECARS, SERVERS, Path.of(""));
-        assertEquals(List.of(), result.breaches());
+        Soak.Result result = Soak.run(seed, MILLISECONDS, SIDECARS, SERVERS, Path.of(""));
+        assertEquals(List.of(), result.violations());
         assertTrue(result.served() > 100, result.served() + " served");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/Stopwatch.java
+++ b/sidecar/src/test/java/trestlegrade/integration/Stopwatch.java
@@ -1,7 +1,7 @@
 package trestlegrade.integration;
 
 import java.util.concurrent.atomic.AtomicLong;
-import trestlegrade.lab.MachineLateness;
+import trestlegrade.lab.SchedulingDelayMonitor;
 
 /**
  * Measures time without that during which the machine stood still: a thread that only sleeps was late by so much. On a
@@ -24,7 +24,7 @@
 
     private static void tick() {
         try {
-            MachineLateness.watch(USUAL, STOOD_STILL::addAndGet);
+            SchedulingDelayMonitor.watch(USUAL, STOOD_STILL::addAndGet);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
@@ -38,7 +38,7 @@
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
     void acceptFailsForAWhile(Errno errno) throws Exception {
-        shim.fail(Field.ACCEPT_ERRNO, Field.ACCEPT_RATE, errno, SystemCallShim.ALL);
+        shim.fail(Field.ACCEPT_ERRNO, Field.ACCEPT_RATE, errno, SystemCallShim.ALL_CALLS);
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             clients.add(client());
@@ -71,7 +71,7 @@
 
     private void answeredAtOnceAndServedAgain(Field number, Field rate, Field done, Errno errno) throws Exception {
         TestClient client = client();
-        shim.fail(number, rate, errno, SystemCallShim.ALL);
+        shim.fail(number, rate, errno, SystemCallShim.ALL_CALLS);
         for (String profile : List.of("quote", "post-charge")) {
             Stopwatch watch = new Stopwatch();
             assertTrue(client.ask(transaction(profile, profile + errno, 1_400)).startsWith("HTTP/1.1 503 "));
@@ -88,7 +88,7 @@
     @Test
     void noSocketToListenOnForAWhile() throws Exception {
         process.destroyForcibly().waitFor();
-        shim.fail(Field.SOCKET_ERRNO, Field.SOCKET_RATE, Errno.ENFILE, SystemCallShim.ALL);
+        shim.fail(Field.SOCKET_ERRNO, Field.SOCKET_RATE, Errno.ENFILE, SystemCallShim.ALL_CALLS);
         start();
         eventually(() -> log().contains("serve code=listen-again"));
         shim.set(Field.SOCKET_RATE, 0);
@@ -98,8 +98,8 @@
     /** Every read and write moves one byte, and one call in four is interrupted. */
     @Test
     void shortAndInterruptedReadsAndWrites() throws Exception {
-        shim.set(Field.SHORT_RATE, SystemCallShim.ALL);
-        shim.set(Field.INTERRUPT_RATE, SystemCallShim.ALL / 4);
+        shim.set(Field.SHORT_RATE, SystemCallShim.ALL_CALLS);
+        shim.set(Field.INTERRUPT_RATE, SystemCallShim.ALL_CALLS / 4);
         TestClient client = client();
         for (int i = 0; i < 10; i++) {
             String got = client.ask(transaction(i % 2 == 0 ? "quote" : "post-charge", "t" + i, 1_400));
@@ -127,7 +127,7 @@
         eventually(() -> endpoint.saw("t"));
         eventually(() -> counters().getLong("attempts_sent") == 1);
         pause(100);
-        shim.fail(Field.TRANSFER_ERRNO, Field.TRANSFER_RATE, errno, SystemCallShim.NEXT);
+        shim.fail(Field.TRANSFER_ERRNO, Field.TRANSFER_RATE, errno, SystemCallShim.NEXT_CALL);
         gate.open();
         String got = client.read();
         assertTrue(got.startsWith("HTTP/1.1 502 "), got);
@@ -146,7 +146,7 @@
     @Test
     void heldUpBeforeEachWrite() throws Exception {
         shim.set(Field.HOLD_MICROSECONDS, 150_000);
-        shim.set(Field.HOLD_RATE, SystemCallShim.ALL);
+        shim.set(Field.HOLD_RATE, SystemCallShim.ALL_CALLS);
         TestClient client = client();
         long[] seenAt = {0};
         endpoint.answers = r -> {
