--- a/sidecar/src/test/java/trestlegrade/integration/BodyMemoryBudgetIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/BodyMemoryBudgetIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 
 import io.vertx.core.json.JsonObject;
 import java.util.ArrayList;
@@ -30,21 +30,21 @@
     void theLargestBodiesAtOnce() throws Exception {
         Gate gate = new Gate();
         StubEndpoint endpoint = endpoint(r -> {
-            gate.pass();
-            return answer(200, "", "y".repeat(InboundHttpServer.MAX_BODY_BYTES));
+            gate.awaitOpen();
+            return response(200, "", "y".repeat(InboundHttpServer.MAX_BODY_BYTES));
         });
-        patient();
+        useLongTimeouts();
         // Neither long waits, slow connects nor a lack of descriptors refuse any: the memory alone is asked for here.
         settings().getJsonArray("profiles").forEach(each -> ((JsonObject) each).put("service_goal", 100_000_000));
         settings().getJsonObject("ceilings").put("dial_timeout", 30_000);
         sockets = 4 * CLIENTS;
-        serve();
+        startAndAwaitHealthy();
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
-        opened.add(clients::shutdownNow);
+        closeables.add(clients::shutdownNow);
         List<Future<String>> answers = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             int id = i;
-            answers.add(clients.submit(() -> client().ask(posted(id))));
+            answers.add(clients.submit(() -> client().exchange(posted(id))));
         }
         eventually(() -> counters().getLong("accepted", 0L)
                         + answers.stream().filter(Future::isDone).count()
@@ -56,7 +56,7 @@
             boolean served = got.startsWith("HTTP/1.1 200 ");
             committed += served ? 1 : 0;
             assertTrue(served || got.startsWith("HTTP/1.1 503 "), got.substring(0, Math.min(60, got.length())));
-            assertEquals(served, endpoint.saw("t" + i), "t" + i);
+            assertEquals(served, endpoint.received("t" + i), "t" + i);
         }
         assertTrue(
                 committed > CLIENTS / 2 && committed < CLIENTS,
--- a/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
 import static trestlegrade.integration.HttpText.message;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -39,16 +39,16 @@
      */
     @Test
     void whatComesInTheTurnInWhichItsConnectionWouldBeEnded() throws Exception {
-        endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
-        patient();
-        serve();
+        endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
+        useLongTimeouts();
+        startAndAwaitHealthy();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
-            assertTrue(clients.get(i).ask(transaction("quote", "t" + i, 30_000)).endsWith("t" + i));
+            assertTrue(clients.get(i).exchange(transaction("quote", "t" + i, 30_000)).endsWith("t" + i));
         }
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         pause(2_500);
         for (int i = 0; i < 20; i++) {
             clients.get(i).write(transaction("post-charge", "u" + i, 30_000));
@@ -70,10 +70,10 @@
                 return HANG;
             }
             pause(2_000);
-            return answer(200, "", "good");
+            return response(200, "", "good");
         });
-        patient();
-        serve();
+        useLongTimeouts();
+        startAndAwaitHealthy();
         TestClient client = client();
         long sent = System.nanoTime();
         client.write(transaction("post-charge", "a", 6_000) + transaction("post-charge", "b", 6_000));
@@ -92,9 +92,9 @@
     @ValueSource(booleans = {false, true})
     void oneThatReadsItsAnswersLate(boolean ends) throws Exception {
         String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
-        endpoint(r -> answer(200, "", body));
-        patient();
-        serve();
+        endpoint(r -> response(200, "", body));
+        useLongTimeouts();
+        startAndAwaitHealthy();
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(4_096);
             socket.setSoTimeout(10_000);
@@ -127,8 +127,8 @@
     @Test
     void oneThatNeverReadsItsAnswersIsEnded() throws Exception {
         String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
-        endpoint(r -> answer(200, "", body));
-        serve();
+        endpoint(r -> response(200, "", body));
+        startAndAwaitHealthy();
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(4_096);
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
@@ -144,9 +144,9 @@
     @Test
     void thoseThatReadNothing() throws Exception {
         String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
-        endpoint(r -> answer(200, "", header(r, "X-Trace-Id").startsWith("t") ? body : "good"));
-        patient();
-        serve();
+        endpoint(r -> response(200, "", header(r, "X-Trace-Id").startsWith("t") ? body : "good"));
+        useLongTimeouts();
+        startAndAwaitHealthy();
         for (int i = 0; i < 30; i++) {
             TestClient client = client();
             for (int j = 0; j < 150; j++) {
@@ -154,7 +154,7 @@
             }
         }
         for (int i = 0; i < 200; i++) {
-            assertTrue(client().ask(transaction("quote", "u" + i, 30_000)).startsWith("HTTP/1.1 200 "));
+            assertTrue(client().exchange(transaction("quote", "u" + i, 30_000)).startsWith("HTTP/1.1 200 "));
         }
         assertTrue(process.isAlive());
     }
@@ -163,12 +163,12 @@
     @ParameterizedTest
     @CsvSource({"head, false", "body, false", "head, true", "body, true"})
     void oneThatWritesSlowlyIsServed(String part, boolean kept) throws Exception {
-        endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
-        patient();
-        serve();
+        endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
+        useLongTimeouts();
+        startAndAwaitHealthy();
         TestClient client = client();
         if (kept) {
-            client.ask(transaction("quote", "before", 9_000));
+            client.exchange(transaction("quote", "before", 9_000));
             // Most of what a connection may stand idle is over when the next one begins.
             pause(1_500);
         }
@@ -180,7 +180,7 @@
             pause(500);
             client.write(text.substring(from + i, from + i + 1));
         }
-        String got = client.ask(text.substring(from + 6));
+        String got = client.exchange(text.substring(from + 6));
         assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\nt"), got);
     }
 
@@ -190,7 +190,7 @@
     @ParameterizedTest
     @CsvSource({"head, ''", "body, 408"})
     void oneThatDripsForEverIsEnded(String part, String status) throws Exception {
-        endpoint(r -> answer(200, "", "good"));
+        endpoint(r -> response(200, "", "good"));
         settings()
                 .put(
                         "profiles",
@@ -198,7 +198,7 @@
                                 .getJsonArray("profiles")
                                 .encode()
                                 .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":3500")));
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         String text = transaction("post-charge", "t", 3_000)
                 .replace("Content-Length: 2\r\n\r\nok", "Content-Length: 1000\r\n\r\n" + "x".repeat(1_000));
@@ -241,24 +241,24 @@
         StubEndpoint endpoint = endpoint(r -> {
             String trace = header(r, "X-Trace-Id");
             if (gates.containsKey(trace)) {
-                gates.get(trace).pass();
+                gates.get(trace).awaitOpen();
             }
-            return answer(200, "", body);
+            return response(200, "", body);
         });
         sockets = 64;
-        patient();
-        serve();
+        useLongTimeouts();
+        startAndAwaitHealthy();
         for (int i = 0; i < DescriptorBudget.forClients(sockets).limit() / 2; i++) {
-            client().ask(transaction("quote", "crowd" + i, 9_000));
+            client().exchange(transaction("quote", "crowd" + i, 9_000));
         }
         for (int i = 0; i < 12; i++) {
             String trace = "t" + i;
             gates.put(trace, new Gate());
             try (Socket socket = connectWithSmallBuffer()) {
                 socket.getOutputStream().write(bytes(transaction("quote", trace, 9_000)));
-                eventually(() -> endpoint.saw(trace));
+                eventually(() -> endpoint.received(trace));
                 signal("STOP");
-                eventually(this::stopped);
+                eventually(this::allThreadsStopped);
                 gates.get(trace).open();
                 socket.getOutputStream().write(bytes(transaction("quote", "behind" + i, 9_000)));
                 pause(50);
@@ -268,7 +268,7 @@
                 String got = message(in);
                 assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + body), i + ": " + got.length());
                 String next = message(in);
-                assertEquals(!next.isEmpty(), endpoint.saw("behind" + i));
+                assertEquals(!next.isEmpty(), endpoint.received("behind" + i));
                 assertTrue(next.isEmpty() || (next.startsWith("HTTP/1.1 200 ") && next.endsWith("\r\n\r\n" + body)));
                 assertEquals(-1, in.read());
             }
@@ -289,8 +289,8 @@
      */
     @Test
     void oneThatWritesTooMuchSlowlyIsAnswered() throws Exception {
-        endpoint(r -> answer(200, "", "good"));
-        serve();
+        endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         TestClient client = client();
         client.write("POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nContent-Length: 70000\r\n\r\n");
         for (int i = 0; i < 6; i++) {
@@ -305,8 +305,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"two lengths", "no length", "long head"})
     void whatCannotBeReadIsAnsweredWholeWhileItsRestIsBeingSent(String fault) throws Exception {
-        endpoint(r -> answer(200, "", "good"));
-        serve();
+        endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         String head = "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n"
                 + switch (fault) {
                     case "two lengths" -> "Content-Length: 4000000\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -314,7 +314,7 @@
                     default -> "A: " + "x".repeat(20_000) + "\r\n\r\n";
                 };
         for (int i = 0; i < 5; i++) {
-            String got = client().ask(head + "x".repeat(4_000_000));
+            String got = client().exchange(head + "x".repeat(4_000_000));
             assertTrue(
                     got.startsWith(fault.equals("long head") ? "HTTP/1.1 431 " : "HTTP/1.1 400 ")
                             && got.endsWith("\r\n\r\n"),
@@ -331,8 +331,8 @@
     @CsvSource({"60, false", "60, true", "150, false"})
     void aSilentCrowdMakesRoomForThoseThatSend(int crowd, boolean behindAStall) throws Exception {
         sockets = 64;
-        endpoint(r -> answer(200, "", "good"));
-        serve();
+        endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         if (behindAStall) {
             signal("STOP");
             pause(3_000);
@@ -344,7 +344,7 @@
         }
         TestClient next = client();
         Stopwatch watch = new Stopwatch();
-        String got = next.ask(transaction("post-charge", "t", 2_900));
+        String got = next.exchange(transaction("post-charge", "t", 2_900));
         assertTrue(got.startsWith("HTTP/1.1 200 "), "after " + watch.milliseconds() + " ms: " + got);
         assertTrue(watch.milliseconds() < 2_900, "after " + watch.milliseconds() + " ms");
     }
@@ -360,9 +360,9 @@
         long[] seenAt = {0};
         StubEndpoint endpoint = endpoint(r -> {
             seenAt[0] = System.nanoTime();
-            return answer(200, "", "good");
+            return response(200, "", "good");
         });
-        serve();
+        startAndAwaitHealthy();
         if (stopped) {
             signal("STOP");
         }
@@ -382,7 +382,7 @@
         }
         String got = next.read();
         if (got.startsWith("HTTP/1.1 200 ")) {
-            long told = HeaderRules.timeoutTicks(header(endpoint.seen.get(0), "X-Expires-In")) / 10;
+            long told = HeaderRules.timeoutTicks(header(endpoint.requests.get(0), "X-Expires-In")) / 10;
             long left = 2_900 - (seenAt[0] - asked) / 1_000_000;
             assertTrue(told <= left + 150, "told " + told + " ms with " + left + " ms left");
         } else {
--- a/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
@@ -5,8 +5,8 @@
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
 import static trestlegrade.integration.Await.within;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.CLOSE;
 
@@ -31,7 +31,7 @@
 
     private void terms(boolean cancelling) {
         settings().getJsonObject("ceilings").put("cancelling", cancelling).put("dial_timeout", 8_000);
-        patient();
+        useLongTimeouts();
     }
 
     private void leftIsKnown() {
@@ -40,7 +40,7 @@
 
     /** Whatever was to be written for the others would have been by then. */
     private void another() throws Exception {
-        assertTrue(client().ask(transaction("quote", "another", 9_000)).startsWith("HTTP/1.1 200 "));
+        assertTrue(client().exchange(transaction("quote", "another", 9_000)).startsWith("HTTP/1.1 200 "));
     }
 
     /** The endpoint's queue is full, so connections to it come up only once the test has made room. */
@@ -53,9 +53,10 @@
             for (int i = 0; i < 2; i++) {
                 queue.add(new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort()));
             }
-            endpoint(r -> answer(200, "", "good")).close();
-            known = new JsonArray().add(entry(0, "active").put("address", "127.0.0.1:" + full.getLocalPort()));
-            serve();
+            endpoint(r -> response(200, "", "good")).close();
+            initialEndpoints =
+                    new JsonArray().add(entry(0, "active").put("address", "127.0.0.1:" + full.getLocalPort()));
+            startAndAwaitHealthy();
             TestClient client = client();
             client.write(transaction(profile, "t", 30_000));
             eventually(() -> counters().getLong("connects", 0L) == 1);
@@ -85,20 +86,20 @@
     @ValueSource(booleans = {true, false})
     void whileThereIsNoEndpointForIt(boolean cancelling) throws Exception {
         terms(cancelling);
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
-        known = new JsonArray().add(entry(0, "leaving"));
+        StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
+        initialEndpoints = new JsonArray().add(entry(0, "leaving"));
         start();
         within(10_000, () -> health() == 503);
-        eventually(() -> !discovery.seen.isEmpty());
+        eventually(() -> !discovery.requests.isEmpty());
         TestClient client = client();
         client.write(transaction("quote", "t", 30_000));
         eventually(() -> counters().getLong("accepted", 0L) == 1);
         client.close();
         leftIsKnown();
-        discovery.line(list(8, false, entry(0, "active")));
+        discovery.writeLine(listLine(8, false, entry(0, "active")));
         eventually(() -> health() == 200);
         another();
-        assertEquals(1, endpoint.seen.size());
+        assertEquals(1, endpoint.requests.size());
     }
 
     /** The attempt before ends once the client has left. */
@@ -109,36 +110,36 @@
         Gate gate = new Gate();
         Function<String, String> answers = r -> {
             if (!"t".equals(header(r, "X-Trace-Id"))) {
-                return answer(200, "", "good");
+                return response(200, "", "good");
             }
-            gate.pass();
-            return end.equals("breaks") ? CLOSE : answer(503, "X-Never-Ran: 1\r\n", "");
+            gate.awaitOpen();
+            return end.equals("breaks") ? CLOSE : response(503, "X-Never-Ran: 1\r\n", "");
         };
         StubEndpoint first = endpoint(answers);
         StubEndpoint second = endpoint(answers);
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         client.write(transaction("quote", "t", 30_000));
-        eventually(() -> first.saw("t") || second.saw("t"));
+        eventually(() -> first.received("t") || second.received("t"));
         client.close();
         leftIsKnown();
         gate.open();
         eventually(() -> counters().getJsonObject("attempts_ended").size() > 0);
         another();
-        assertEquals(2, first.seen.size() + second.seen.size());
+        assertEquals(2, first.requests.size() + second.requests.size());
     }
 
     /** Half a head, and gone: it left, and did not send what cannot be read. */
     @Test
     void inTheMidstOfItsHead() throws Exception {
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
-        serve();
+        StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         TestClient client = client();
         client.write("GET /quote HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nX-Exp");
         client.close();
         eventually(() -> counters().getJsonObject("connections_ended").getLong("client:client-left", 0L) == 1);
         assertEquals(0, counters().getJsonObject("rejected").size());
-        assertEquals(0, endpoint.seen.size());
+        assertEquals(0, endpoint.requests.size());
     }
 
     /** The process stands still while the client sends, and goes; both wait for the same turn of the loop. */
@@ -146,21 +147,21 @@
     @CsvSource({"true, false", "false, false", "true, true", "false, true"})
     void beforeItIsRead(boolean cancelling, boolean reset) throws Exception {
         terms(cancelling);
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
-        serve();
+        StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         another();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
         }
         // Accepted, so that each connection is looked at on its own.
-        clients.forEach(each -> each.tries(transaction("quote", "warm" + clients.indexOf(each), 9_000)));
-        int before = endpoint.seen.size();
+        clients.forEach(each -> each.exchangeUnchecked(transaction("quote", "warm" + clients.indexOf(each), 9_000)));
+        int before = endpoint.requests.size();
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         for (TestClient each : clients) {
             each.write(transaction("quote", "t" + clients.indexOf(each), 30_000));
-            each.leave(reset);
+            each.disconnect(reset);
         }
         pause(400);
         signal("CONT");
@@ -172,8 +173,8 @@
         another();
         assertEquals(
                 before + 1,
-                endpoint.seen.size(),
-                () -> endpoint.seen.stream()
+                endpoint.requests.size(),
+                () -> endpoint.requests.stream()
                         .map(r -> header(r, "X-Trace-Id"))
                         .toList()
                         .toString());
@@ -187,8 +188,8 @@
     void inTheListenersQueue(boolean cancelling) throws Exception {
         terms(cancelling);
         sockets = 64;
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
-        serve();
+        StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         another();
         for (int round = 0; round < 3; round++) {
             String trace = "t" + round;
@@ -202,7 +203,7 @@
                 queue.get(i).write(transaction("quote", trace + "-" + i, 30_000));
             }
             for (int i = 2; i < 12; i++) {
-                queue.get(i).leave(i % 2 == 0);
+                queue.get(i).disconnect(i % 2 == 0);
             }
             pause(350);
             for (TestClient each : holding) {
@@ -215,7 +216,7 @@
             eventually(() -> health() == 200);
             assertEquals(
                     List.of(),
-                    endpoint.seen.stream()
+                    endpoint.requests.stream()
                             .map(r -> header(r, "X-Trace-Id"))
                             .filter(t -> t.matches(trace + "-([2-9]|1\\d)"))
                             .toList());
@@ -230,25 +231,25 @@
         Gate gate = new Gate();
         StubEndpoint endpoint = endpoint(r -> {
             if ("t0".equals(header(r, "X-Trace-Id"))) {
-                gate.pass();
+                gate.awaitOpen();
             }
-            return answer(200, "", "good");
+            return response(200, "", "good");
         });
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < ahead; i++) {
             all.append(transaction("quote", "t" + i, 30_000));
         }
         client.write(all.toString());
-        eventually(() -> endpoint.saw("t0"));
+        eventually(() -> endpoint.received("t0"));
         client.close();
         leftIsKnown();
         gate.open();
         eventually(
                 () -> cancelling || counters().getJsonObject("attempts_ended").size() > 0);
         another();
-        assertEquals(2, endpoint.seen.size());
+        assertEquals(2, endpoint.requests.size());
         assertEquals(2, counters().getLong("accepted"));
     }
 
@@ -256,8 +257,8 @@
     @Test
     void thoseSentAheadByOneThatStaysAreServedInOrder() throws Exception {
         terms(true);
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
-        serve();
+        StubEndpoint endpoint = endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
+        startAndAwaitHealthy();
         TestClient client = client();
         for (int round = 0; round < 5; round++) {
             StringBuilder all = new StringBuilder();
@@ -270,7 +271,7 @@
                 assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\nt" + round + "-" + i), got);
             }
         }
-        assertEquals(150, endpoint.seen.size());
+        assertEquals(150, endpoint.requests.size());
     }
 
     /** Beyond what is held for one connection it ends with an answer; what was not answered was not begun. */
@@ -280,19 +281,19 @@
         Gate gate = new Gate();
         StubEndpoint endpoint = endpoint(r -> {
             if ("t0".equals(header(r, "X-Trace-Id"))) {
-                gate.pass();
+                gate.awaitOpen();
             }
-            return answer(200, "", header(r, "X-Trace-Id"));
+            return response(200, "", header(r, "X-Trace-Id"));
         });
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 1_000; i++) {
             all.append(transaction("quote", "t" + i, 30_000));
         }
         client.write(all.toString());
-        eventually(() -> endpoint.saw("t0"));
-        assertTrue(client().ask(transaction("quote", "another", 9_000)).startsWith("HTTP/1.1 200 "));
+        eventually(() -> endpoint.received("t0"));
+        assertTrue(client().exchange(transaction("quote", "another", 9_000)).startsWith("HTTP/1.1 200 "));
         gate.open();
         int answered = 0;
         int committed = 0;
@@ -301,7 +302,7 @@
             committed += got.startsWith("HTTP/1.1 200 ") ? 1 : 0;
         }
         assertTrue(answered > 100 && answered < 500 && committed > 100, answered + " answered");
-        assertEquals(committed + 1, endpoint.seen.size());
+        assertEquals(committed + 1, endpoint.requests.size());
         // This side closes only once nothing more comes of what the client had sent.
         eventually(() -> counters().getJsonObject("connections_ended").getLong("client:too-far-ahead", 0L) == 1);
     }
--- a/sidecar/src/test/java/trestlegrade/integration/CompletedTransactionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/CompletedTransactionsIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 
 import io.vertx.core.json.JsonObject;
@@ -28,12 +28,12 @@
     // With bodies of 64 KiB more than the heap holds.
     private static final int MANY = 1_600;
 
-    private final StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
+    private final StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
 
     @BeforeEach
     void shortGoals() {
         settings().getJsonArray("profiles").forEach(each -> ((JsonObject) each).put("service_goal", 40));
-        known = new io.vertx.core.json.JsonArray().add(entry(0, "leaving"));
+        initialEndpoints = new io.vertx.core.json.JsonArray().add(entry(0, "leaving"));
     }
 
     private static String posted(String trace) {
@@ -45,7 +45,7 @@
     private void refused(int from, int to) {
         try (TestClient client = new TestClient(port)) {
             for (int i = from; i < to; i++) {
-                assertTrue(client.ask(posted("t" + i)).startsWith("HTTP/1.1 503 "));
+                assertTrue(client.exchange(posted("t" + i)).startsWith("HTTP/1.1 503 "));
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -74,7 +74,7 @@
                         .getJsonObject("no_endpoint")
                         .getInteger("rolled_back"));
         nothingIsHeld();
-        assertEquals(0, endpoint.seen.size());
+        assertEquals(0, endpoint.requests.size());
     }
 
     /** The decisions under earlier settings go with the last transaction that was taken under them. */
--- a/sidecar/src/test/java/trestlegrade/integration/ConfigReloadIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ConfigReloadIT.java
@@ -5,7 +5,7 @@
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
 import static trestlegrade.integration.Await.within;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -27,13 +27,13 @@
     void reloadMovesDiscoveryAndKeepsWhatIsOpen() throws Exception {
         StubEndpoint first = endpoint(r -> {
             pause(200);
-            return answer(200, "", "good");
+            return response(200, "", "good");
         });
-        endpoint(r -> answer(200, "", "good"));
+        endpoint(r -> response(200, "", "good"));
         StubDiscovery elsewhere = new StubDiscovery(r -> HANG);
-        opened.add(elsewhere);
-        serve();
-        eventually(() -> discovery.seen.size() == 1);
+        closeables.add(elsewhere);
+        startAndAwaitHealthy();
+        eventually(() -> discovery.requests.size() == 1);
         Path file = dir.resolve("config.json");
         JsonObject told = new JsonObject(Files.readString(file));
         badFilesChangeNothing(file, told);
@@ -48,13 +48,15 @@
             pause(20);
         }
         assertTrue(client.read().startsWith("HTTP/1.1 200 "));
-        eventually(() -> elsewhere.seen.size() == 1 && discovery.ended.size() == 1);
-        assertTrue(elsewhere.seen.get(0).startsWith("GET /catalog/members?stream=1&index=7 "), elsewhere.seen.get(0));
+        eventually(() -> elsewhere.requests.size() == 1 && discovery.closedConnections.size() == 1);
+        assertTrue(
+                elsewhere.requests.get(0).startsWith("GET /catalog/members?stream=1&index=7 "),
+                elsewhere.requests.get(0));
         assertTrue(log().contains("at_restart=[limits]"), log());
-        elsewhere.line(list(8, false, entry(0, "leaving")));
+        elsewhere.writeLine(listLine(8, false, entry(0, "leaving")));
         eventually(() -> counters().getLong("list_lines") == 1);
         nothingGoesTo(first, client);
-        assertEquals(1, elsewhere.connections.get() + elsewhere.ended.size());
+        assertEquals(1, elsewhere.connectionCount.get() + elsewhere.closedConnections.size());
         client.close();
         process.destroy();
         assertTrue(process.waitFor(2, TimeUnit.SECONDS));
@@ -68,22 +70,22 @@
             signal("HUP");
             eventually(() -> log().contains(bad.endsWith(":") ? "code=unreadable" : "discovery: must be host:port"));
         }
-        assertEquals(0, discovery.ended.size());
+        assertEquals(0, discovery.closedConnections.size());
     }
 
     private static void nothingGoesTo(StubEndpoint drained, TestClient client) throws Exception {
-        int before = drained.seen.size();
+        int before = drained.requests.size();
         for (int i = 0; i < 20; i++) {
-            assertTrue(client.ask(transaction("quote", "u" + i, 900)).startsWith("HTTP/1.1 200 "));
+            assertTrue(client.exchange(transaction("quote", "u" + i, 900)).startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(before, drained.seen.size());
+        assertEquals(before, drained.requests.size());
     }
 
     /** A SIGHUP while the program was starting ended it with status 129: the JVM's own handler was still in place. */
     @Test
     void aReloadDuringTheStartIsKeptUntilItCanBeDone() throws Exception {
-        endpoint(r -> answer(200, "", "good"));
-        verbose = true;
+        endpoint(r -> response(200, "", "good"));
+        logClassLoading = true;
         start();
         eventually(() -> log().contains("trestlegrade.runtime.SidecarProcess "));
         signal("HUP");
@@ -94,7 +96,7 @@
     /** A SIGHUP before the program's first line ends the process: the JVM has no handler, or its own. */
     @Test
     void aReloadBeforeTheProgramBeginsDoesNotEndIt() throws Exception {
-        endpoint(r -> answer(200, "", "good"));
+        endpoint(r -> response(200, "", "good"));
         start();
         signal("HUP");
         within(10_000, () -> !process.isAlive() || health() == 200);
--- a/sidecar/src/test/java/trestlegrade/integration/ConnectionReuseIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ConnectionReuseIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.CLOSE;
 import static trestlegrade.integration.StubServer.HANG;
@@ -21,22 +21,22 @@
      */
     @Test
     void idleConnectionsAreReusedAndClosedBeforeTheEndpointWould() throws Exception {
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
         settings().getJsonObject("ceilings").put("keepalive", 1_000.0);
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         for (int i = 0; i < 5; i++) {
-            client.ask(transaction("quote", "t" + i, 500));
+            client.exchange(transaction("quote", "t" + i, 500));
             // A connection rests for 30 ms behind an answer.
             pause(60);
         }
-        assertEquals(1, endpoint.connections.get());
-        assertEquals(0, endpoint.ended.size());
+        assertEquals(1, endpoint.connectionCount.get());
+        assertEquals(0, endpoint.closedConnections.size());
         long start = System.nanoTime();
-        eventually(() -> endpoint.ended.size() == 1);
+        eventually(() -> endpoint.closedConnections.size() == 1);
         assertTrue((System.nanoTime() - start) / 1_000_000 >= 700, "dropped too soon");
-        client.ask(transaction("quote", "t9", 500));
-        assertEquals(2, endpoint.connections.get());
+        client.exchange(transaction("quote", "t9", 500));
+        assertEquals(2, endpoint.connectionCount.get());
     }
 
     /** The endpoint ends connections idle for 0.15 s under the next attempt: that costs one transaction, not all. */
@@ -45,17 +45,17 @@
         AtomicInteger pooled = new AtomicInteger();
         long[] last = {System.nanoTime()};
         StubEndpoint endpoint = endpoint(r -> HANG);
-        endpoint.answers = r -> {
-            boolean old = pooled.getAndSet(endpoint.connections.get()) == endpoint.connections.get();
+        endpoint.responder = r -> {
+            boolean old = pooled.getAndSet(endpoint.connectionCount.get()) == endpoint.connectionCount.get();
             boolean idle = System.nanoTime() - last[0] > 150_000_000;
             last[0] = System.nanoTime();
-            return old && idle ? CLOSE : answer(200, "", "good");
+            return old && idle ? CLOSE : response(200, "", "good");
         };
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         int committed = 0;
         for (int i = 0; i < 10; i++) {
-            committed += client.ask(transaction("post-charge", "t" + i, 900)).startsWith("HTTP/1.1 200 ") ? 1 : 0;
+            committed += client.exchange(transaction("post-charge", "t" + i, 900)).startsWith("HTTP/1.1 200 ") ? 1 : 0;
             pause(200);
         }
         // A busy machine may see the first break too late to learn of it; never learnt, every other one would break.
@@ -70,9 +70,9 @@
     void timeoutClosesIdleConnectionsWithoutALaterAnswer() throws Exception {
         StubEndpoint endpoint = endpoint(r -> {
             pause(100);
-            return r.contains("hang") ? HANG : answer(200, "", "good");
+            return r.contains("hang") ? HANG : response(200, "", "good");
         });
-        serve();
+        startAndAwaitHealthy();
         List<TestClient> clients = List.of(client(), client(), client());
         for (int i = 0; i < 3; i++) {
             clients.get(i).write(transaction("quote", "t" + i, 900));
@@ -80,16 +80,16 @@
         for (TestClient each : clients) {
             each.read();
         }
-        assertEquals(3, endpoint.connections.get());
+        assertEquals(3, endpoint.connectionCount.get());
         pause(50);
         clients.get(0).write(transaction("post-charge", "hang", 500));
         pause(50);
-        assertTrue(clients.get(1).ask(transaction("quote", "u", 900)).startsWith("HTTP/1.1 200 "));
-        assertEquals(0, endpoint.ended.size());
+        assertTrue(clients.get(1).exchange(transaction("quote", "u", 900)).startsWith("HTTP/1.1 200 "));
+        assertEquals(0, endpoint.closedConnections.size());
         assertTrue(clients.get(0).read().startsWith("HTTP/1.1 502 "));
-        eventually(() -> endpoint.ended.size() == 2);
+        eventually(() -> endpoint.closedConnections.size() == 2);
         pause(100);
-        assertEquals(2, endpoint.ended.size());
+        assertEquals(2, endpoint.closedConnections.size());
     }
 
     /**
@@ -98,12 +98,12 @@
      */
     @Test
     void connectionThatAnAnswerClosesIsNotReused() throws Exception {
-        StubEndpoint endpoint = endpoint(r -> answer(200, "Connection: close\r\n", "good"));
-        serve();
+        StubEndpoint endpoint = endpoint(r -> response(200, "Connection: close\r\n", "good"));
+        startAndAwaitHealthy();
         TestClient client = client();
         for (int i = 0; i < 20; i++) {
-            assertTrue(client.ask(transaction("post-charge", "t" + i, 500)).startsWith("HTTP/1.1 200 "));
+            assertTrue(client.exchange(transaction("post-charge", "t" + i, 500)).startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(20, endpoint.connections.get());
+        assertEquals(20, endpoint.connectionCount.get());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/DescriptorLimitIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/DescriptorLimitIT.java
@@ -5,7 +5,7 @@
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
 import static trestlegrade.integration.Await.within;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -32,37 +32,37 @@
                 .put("hard_limit", 40_000)
                 .put("service_goal", 40_000);
         StubEndpoint endpoint = endpoint(r -> HANG);
-        serve();
+        startAndAwaitHealthy();
         int room = DescriptorBudget.forClients(sockets).limit();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < room; i++) {
             clients.add(client());
             if (i < DescriptorBudget.forAttempts(sockets).limit()) {
                 clients.get(i).write(transaction("quote", "t" + i, 30_000));
-                eventually(() -> endpoint.seen.size() == clients.size());
+                eventually(() -> endpoint.requests.size() == clients.size());
             }
         }
         // In the listener's queue, for all descriptors are held.
-        String got = client().ask(transaction("quote", "u", 5_000));
+        String got = client().exchange(transaction("quote", "u", 5_000));
         assertTrue(got.startsWith("HTTP/1.1 "), got);
     }
 
     /** Clients connect and say nothing. They cost the usual clients neither their connections nor a turn. */
     @Test
     void silentConnectionsMakeRoomForOnesThatSend() throws Exception {
-        endpoint(r -> answer(200, "", "good"));
+        endpoint(r -> response(200, "", "good"));
         sockets = 64;
-        serve();
+        startAndAwaitHealthy();
         TestClient kept = client();
-        assertTrue(kept.ask(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
+        assertTrue(kept.exchange(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
         for (int i = 0; i < 14; i++) {
             client();
         }
         pause(1_000);
         for (int i = 0; i < 10; i++) {
-            assertTrue(client().ask(transaction("quote", "u" + i, 500)).startsWith("HTTP/1.1 200 "));
+            assertTrue(client().exchange(transaction("quote", "u" + i, 500)).startsWith("HTTP/1.1 200 "));
         }
-        assertTrue(kept.ask(transaction("quote", "v", 500)).startsWith("HTTP/1.1 200 "));
+        assertTrue(kept.exchange(transaction("quote", "v", 500)).startsWith("HTTP/1.1 200 "));
     }
 
     /**
@@ -73,7 +73,7 @@
     void clientsBeyondTheDescriptorsAreAnswered() throws Exception {
         StubEndpoint silent = endpoint(r -> HANG);
         sockets = 64;
-        serve();
+        startAndAwaitHealthy();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             clients.add(client());
@@ -86,15 +86,15 @@
             rolledBack += got.startsWith("HTTP/1.1 503 ") ? 1 : 0;
         }
         assertTrue(rolledBack >= 10 && rolledBack < 30, rolledBack + " rolled back");
-        assertEquals(30 - rolledBack, silent.seen.size());
-        silent.answers = r -> answer(200, "", "good");
+        assertEquals(30 - rolledBack, silent.requests.size());
+        silent.responder = r -> response(200, "", "good");
         for (TestClient each : clients) {
             each.close();
         }
         pause(100);
         // The decisions roll back early for a while after so much silence.
         TestClient after = client();
-        within(5_000, () -> after.tries(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
+        within(5_000, () -> after.exchangeUnchecked(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
     }
 
     /**
@@ -104,21 +104,21 @@
     @ParameterizedTest
     @ValueSource(strings = {"quote", "_health"})
     void inACrowdConnectionsEndWithTheirAnswer(String asked) throws Exception {
-        endpoint(r -> answer(200, "", "good"));
+        endpoint(r -> response(200, "", "good"));
         sockets = 100;
-        serve();
+        startAndAwaitHealthy();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             TestClient each = client();
             clients.add(each);
-            String got = each.ask(
+            String got = each.exchange(
                     asked.equals("quote")
                             ? transaction("quote", "t" + i, 500)
                             : "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
             assertTrue(got.startsWith("HTTP/1.1 200 "), got);
             assertEquals(i >= 19, got.toLowerCase(Locale.ROOT).contains("connection: close"), i + ": " + got);
         }
-        assertTrue(clients.get(0).ask(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
+        assertTrue(clients.get(0).exchange(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
         assertEquals("", clients.get(59).read());
     }
 
@@ -130,10 +130,10 @@
     void busyConnectionsAreKept() throws Exception {
         endpoint(r -> {
             pause(r.contains("/post-charge") ? 1_500 : 0);
-            return answer(200, "", "good");
+            return response(200, "", "good");
         });
         sockets = 100;
-        serve();
+        startAndAwaitHealthy();
         // The loop stands still for up to half a second as it starts, and remembers that, halved each second:
         // meanwhile it makes no room by connections that may hold something unread.
         pause(2_500);
@@ -148,7 +148,7 @@
         pause(700);
         for (int i = 0; i < 20; i++) {
             // The decisions may roll back early after so long without a commit; there is room in any case.
-            client().ask(transaction("quote", "u" + i, 500));
+            client().exchange(transaction("quote", "u" + i, 500));
         }
         assertTrue(log().contains("client code=room") && !log().contains("client code=too-many"), log());
         for (TestClient each : busy) {
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointChangesIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointChangesIT.java
@@ -5,7 +5,7 @@
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
 import static trestlegrade.integration.Await.within;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -24,26 +24,26 @@
      */
     @Test
     void drainingEndpointGetsNothingNew() throws Exception {
-        StubEndpoint first = endpoint(r -> answer(200, "", "good"));
-        StubEndpoint second = endpoint(r -> answer(200, "", "good"));
-        serve();
+        StubEndpoint first = endpoint(r -> response(200, "", "good"));
+        StubEndpoint second = endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         TestClient client = client();
         for (int i = 0; i < 100; i++) {
-            client.ask(transaction("quote", "t" + i, 500));
+            client.exchange(transaction("quote", "t" + i, 500));
         }
-        assertTrue(first.seen.size() > 10 && second.seen.size() > 10, first.seen.size() + " at the first");
-        eventually(() -> discovery.seen.size() == 1);
-        discovery.line(list(8, false, entry(0, "leaving")));
-        eventually(() -> first.ended.size() == first.connections.get());
-        int before = first.seen.size();
+        assertTrue(first.requests.size() > 10 && second.requests.size() > 10, first.requests.size() + " at the first");
+        eventually(() -> discovery.requests.size() == 1);
+        discovery.writeLine(listLine(8, false, entry(0, "leaving")));
+        eventually(() -> first.closedConnections.size() == first.connectionCount.get());
+        int before = first.requests.size();
         for (int i = 0; i < 50; i++) {
-            assertTrue(client.ask(transaction("quote", "u" + i, 500)).startsWith("HTTP/1.1 200 "));
+            assertTrue(client.exchange(transaction("quote", "u" + i, 500)).startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(before, first.seen.size());
-        discovery.line(list(9, true, entry(0, "active")));
-        eventually(() -> second.ended.size() == second.connections.get());
-        assertTrue(client.ask(transaction("quote", "v", 500)).startsWith("HTTP/1.1 200 "));
-        assertTrue(first.saw("v"));
+        assertEquals(before, first.requests.size());
+        discovery.writeLine(listLine(9, true, entry(0, "active")));
+        eventually(() -> second.closedConnections.size() == second.connectionCount.get());
+        assertTrue(client.exchange(transaction("quote", "v", 500)).startsWith("HTTP/1.1 200 "));
+        assertTrue(first.received("v"));
     }
 
     /**
@@ -52,28 +52,28 @@
      */
     @Test
     void newNameAtAnOldAddressTakesNoConnectionOver() throws Exception {
-        StubEndpoint first = endpoint(r -> answer(200, "", "good"));
-        endpoint(r -> answer(200, "", "good"));
-        serve();
+        StubEndpoint first = endpoint(r -> response(200, "", "good"));
+        endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         TestClient client = client();
         for (int i = 0; i < 50; i++) {
-            client.ask(transaction("quote", "t" + i, 500));
+            client.exchange(transaction("quote", "t" + i, 500));
         }
-        eventually(() -> discovery.seen.size() == 1);
-        assertEquals(0, first.ended.size());
-        discovery.line(list(8, false, entry(0, "active").put("name", "s-new").put("since_ms", 1)));
-        eventually(() -> first.ended.size() == first.connections.get());
-        int before = first.seen.size();
+        eventually(() -> discovery.requests.size() == 1);
+        assertEquals(0, first.closedConnections.size());
+        discovery.writeLine(listLine(8, false, entry(0, "active").put("name", "s-new").put("since_ms", 1)));
+        eventually(() -> first.closedConnections.size() == first.connectionCount.get());
+        int before = first.requests.size();
         for (int i = 0; i < 50; i++) {
-            client.ask(transaction("quote", "u" + i, 500));
+            client.exchange(transaction("quote", "u" + i, 500));
         }
-        assertTrue(first.seen.size() > before + 10);
+        assertTrue(first.requests.size() > before + 10);
         // What is said of the old one later changes nothing for the new one.
-        discovery.line(list(9, false, entry(0, "left"), entry(1, "leaving"), entry(0, "active")));
+        discovery.writeLine(listLine(9, false, entry(0, "left"), entry(1, "leaving"), entry(0, "active")));
         eventually(() -> counters().getLong("list_lines") == 2);
-        before = first.seen.size();
-        client.ask(transaction("quote", "v", 500));
-        assertEquals(before + 1, first.seen.size());
+        before = first.requests.size();
+        client.exchange(transaction("quote", "v", 500));
+        assertEquals(before + 1, first.requests.size());
         assertTrue(log().contains("pooled code=gone peer=s-0 "), log());
     }
 
@@ -81,28 +81,29 @@
     @ParameterizedTest
     @ValueSource(strings = {"ends", "refused", "nonsense", "silent"})
     void failedWatchIsRequestedAgain(String fault) throws Exception {
-        endpoint(r -> answer(200, "", "good"));
-        discovery.beats = false;
-        discovery.answers = r -> discovery.seen.size() > 1 || !fault.equals("refused") ? HANG : answer(503, "", "");
-        serve();
-        eventually(() -> !discovery.seen.isEmpty());
+        endpoint(r -> response(200, "", "good"));
+        discovery.heartbeats = false;
+        discovery.responder =
+                r -> discovery.requests.size() > 1 || !fault.equals("refused") ? HANG : response(503, "", "");
+        startAndAwaitHealthy();
+        eventually(() -> !discovery.requests.isEmpty());
         if (!fault.equals("refused")) {
-            discovery.line(list(12, false));
+            discovery.writeLine(listLine(12, false));
             eventually(() -> counters().getLong("list_lines") == 1);
         }
         if (fault.equals("ends")) {
-            discovery.dropAll();
+            discovery.closeAllConnections();
         } else if (fault.equals("nonsense")) {
-            discovery.line("{\"index\":");
+            discovery.writeLine("{\"index\":");
         }
-        within(7_000, () -> discovery.seen.size() == 2);
+        within(7_000, () -> discovery.requests.size() == 2);
         assertTrue(
                 discovery
-                        .seen
+                        .requests
                         .get(1)
                         .startsWith("GET /catalog/members?stream=1&index=" + (fault.equals("refused") ? 7 : 12) + " "),
-                discovery.seen.get(1));
-        assertTrue(client().ask(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
+                discovery.requests.get(1));
+        assertTrue(client().exchange(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
     }
 
     /**
@@ -111,40 +112,40 @@
      */
     @Test
     void stalledEventLoopAppliesTheListBeforeRequests() throws Exception {
-        StubEndpoint first = endpoint(r -> answer(200, "", "good"));
-        StubEndpoint second = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint first = endpoint(r -> response(200, "", "good"));
+        StubEndpoint second = endpoint(r -> response(200, "", "good"));
         raiseLimitOfQuotes();
-        serve();
-        eventually(() -> discovery.seen.size() == 1);
+        startAndAwaitHealthy();
+        eventually(() -> discovery.requests.size() == 1);
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
-            clients.get(i).ask(transaction("quote", "t" + i, 500));
+            clients.get(i).exchange(transaction("quote", "t" + i, 500));
         }
         TestClient over = client();
-        over.ask(transaction("quote", "t20", 500));
+        over.exchange(transaction("quote", "t20", 500));
         clients.get(0).write(transaction("quote", "u", 2_900));
-        eventually(() -> first.saw("u") || second.saw("u"));
+        eventually(() -> first.received("u") || second.received("u"));
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         for (TestClient each : clients.subList(1, 20)) {
             // Long enough that a busy machine has time left for them after the stop.
             each.write(transaction("post-charge", "v" + clients.indexOf(each), 2_900));
         }
         over.write(transaction("quote", "over", 1_000));
-        discovery.line(list(8, false, entry(0, "leaving")));
+        discovery.writeLine(listLine(8, false, entry(0, "leaving")));
         pause(1_100);
-        int before = first.seen.size();
+        int before = first.requests.size();
         signal("CONT");
         for (TestClient each : clients) {
             assertTrue(each.read().startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(before, first.seen.size());
+        assertEquals(before, first.requests.size());
         assertTrue(over.read().startsWith("HTTP/1.1 503 "));
-        assertTrue(!first.saw("over") && !second.saw("over"), "its time was over before it was read");
-        second.answers = r -> HANG;
+        assertTrue(!first.received("over") && !second.received("over"), "its time was over before it was read");
+        second.responder = r -> HANG;
         Stopwatch watch = new Stopwatch();
-        assertTrue(clients.get(0).ask(transaction("quote", "w", 2_900)).startsWith("HTTP/1.1 503 "));
+        assertTrue(clients.get(0).exchange(transaction("quote", "w", 2_900)).startsWith("HTTP/1.1 503 "));
         long took = watch.milliseconds();
         assertTrue(took < 2_500, "after " + took + " ms");
     }
@@ -162,13 +163,14 @@
     /** Each watch brings the list and ends at once. Requested at once, over and over, discovery would be flooded. */
     @Test
     void watchThatEndsAtOnceIsRequestedOnceASecond() throws Exception {
-        endpoint(r -> answer(200, "", "good"));
-        discovery.answers = r -> answer(200, "Connection: close\r\n", list(discovery.seen.size() + 7, false) + "\n");
-        serve();
-        eventually(() -> discovery.seen.size() > 0);
-        int before = discovery.seen.size();
+        endpoint(r -> response(200, "", "good"));
+        discovery.responder =
+                r -> response(200, "Connection: close\r\n", listLine(discovery.requests.size() + 7, false) + "\n");
+        startAndAwaitHealthy();
+        eventually(() -> discovery.requests.size() > 0);
+        int before = discovery.requests.size();
         pause(2_500);
-        int asked = discovery.seen.size() - before;
+        int asked = discovery.requests.size() - before;
         assertTrue(asked >= 1 && asked <= 3, asked + " times in 2.5 s");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointListFixture.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointListFixture.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.within;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 
 import java.io.IOException;
@@ -15,19 +15,19 @@
 /** Two endpoints, and a watch of the list that brings what the test says, when it says so. */
 abstract class EndpointListFixture extends SidecarFixture {
     /** The two endpoints, both listed. */
-    final StubEndpoint[] at = {endpoint(r -> answer(200, "", "good")), endpoint(r -> answer(200, "", "good"))};
+    final StubEndpoint[] stubs = {endpoint(r -> response(200, "", "good")), endpoint(r -> response(200, "", "good"))};
 
     /** What a watch brings, and when, is each test's own. */
     @BeforeEach
-    void quietWatches() {
-        discovery.beats = false;
+    void disableHeartbeats() {
+        discovery.heartbeats = false;
     }
 
     /** Serves by the first endpoint and the second, both listed, with one watch open. */
-    void watched() throws Exception {
-        patient();
+    void startWatched() throws Exception {
+        useLongTimeouts();
         start();
-        eventually(() -> discovery.seen.size() == 1);
+        eventually(() -> discovery.requests.size() == 1);
         within(10_000, () -> {
             try {
                 // However long the start takes, the watch is not quiet meanwhile.
@@ -40,27 +40,27 @@
     }
 
     /** How many of twenty went to each. */
-    int[] shares(String trace) throws Exception {
-        int[] before = {at[0].seen.size(), at[1].seen.size()};
+    int[] requestsPerEndpoint(String trace) throws Exception {
+        int[] before = {stubs[0].requests.size(), stubs[1].requests.size()};
         TestClient client = client();
         for (int i = 0; i < 20; i++) {
-            assertTrue(client.ask(transaction("quote", trace + i, 9_000)).startsWith("HTTP/1.1 200 "));
+            assertTrue(client.exchange(transaction("quote", trace + i, 9_000)).startsWith("HTTP/1.1 200 "));
         }
         client.close();
-        return new int[] {at[0].seen.size() - before[0], at[1].seen.size() - before[1]};
+        return new int[] {stubs[0].requests.size() - before[0], stubs[1].requests.size() - before[1]};
     }
 
     /**
      * As above, while others hold what clients may: an answer may end its connection, and who finds no room is told so
      * (503) and comes again. All twenty are committed in the end.
      */
-    int[] sharesInACrowd(String trace) {
-        int[] before = {at[0].seen.size(), at[1].seen.size()};
+    int[] requestsPerEndpointUnderConnectionFlood(String trace) {
+        int[] before = {stubs[0].requests.size(), stubs[1].requests.size()};
         AtomicInteger tries = new AtomicInteger();
         for (int i = 0; i < 20; i++) {
             eventually(() -> {
                 try (TestClient client = new TestClient(port)) {
-                    String got = client.ask(transaction("quote", trace + tries.incrementAndGet(), 9_000));
+                    String got = client.exchange(transaction("quote", trace + tries.incrementAndGet(), 9_000));
                     assertTrue(got.startsWith("HTTP/1.1 200 ") || got.startsWith("HTTP/1.1 503 "), got);
                     return got.startsWith("HTTP/1.1 200 ");
                 } catch (IOException e) {
@@ -68,12 +68,12 @@
                 }
             });
         }
-        int[] went = {at[0].seen.size() - before[0], at[1].seen.size() - before[1]};
+        int[] went = {stubs[0].requests.size() - before[0], stubs[1].requests.size() - before[1]};
         assertEquals(20, went[0] + went[1]);
         return went;
     }
 
-    void told(long lines) {
+    void awaitListLines(long lines) {
         eventually(() -> counters().getLong("list_lines", 0L) == lines);
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointListIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointListIT.java
@@ -29,15 +29,15 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 100_000})
     void indentedListsAreReadWhereverTheyAreCut(int length) throws Exception {
-        watched();
-        String text = new JsonObject(list(8, true, entry(0, "active"), entry(1, "active"))).encodePrettily() + "\n"
-                + new JsonObject(list(9, false, entry(0, "leaving"))).encodePrettily();
+        startWatched();
+        String text = new JsonObject(listLine(8, true, entry(0, "active"), entry(1, "active"))).encodePrettily() + "\n"
+                + new JsonObject(listLine(9, false, entry(0, "leaving"))).encodePrettily();
         for (int i = 0; i < text.length(); i += length) {
             discovery.write(0, text.substring(i, Math.min(text.length(), i + length)));
         }
-        told(2);
-        assertEquals(0, shares("t")[0]);
-        assertEquals(1, discovery.seen.size());
+        awaitListLines(2);
+        assertEquals(0, requestsPerEndpoint("t")[0]);
+        assertEquals(1, discovery.requests.size());
     }
 
     /**
@@ -59,18 +59,20 @@
             },
             delimiter = '|')
     void unusableLineIsRequestedAgain(String line, int applied) throws Exception {
-        watched();
-        discovery.line(
+        startWatched();
+        discovery.writeLine(
                 line.replace('\'', '"').replace("LEAVING", entry(0, "leaving").encode()));
-        eventually(() -> discovery.seen.size() == 2);
-        assertTrue(discovery.seen.get(1).startsWith("GET /catalog/members?stream=1&index=7 "), discovery.seen.get(1));
+        eventually(() -> discovery.requests.size() == 2);
+        assertTrue(
+                discovery.requests.get(1).startsWith("GET /catalog/members?stream=1&index=7 "),
+                discovery.requests.get(1));
         assertEquals(1, counters().getLong("list_lines_bad"));
         assertTrue(log().contains("list code=bad-line cause="));
-        int[] shares = shares("t");
+        int[] shares = requestsPerEndpoint("t");
         assertTrue(applied == 1 ? shares[0] == 0 : shares[0] > 0 && shares[1] > 0, shares[0] + " and " + shares[1]);
-        discovery.line(list(8, false, entry(0, "leaving")));
+        discovery.writeLine(listLine(8, false, entry(0, "leaving")));
         eventually(() -> tries(0));
-        assertEquals(0, shares("u")[0]);
+        assertEquals(0, requestsPerEndpoint("u")[0]);
     }
 
     /**
@@ -96,24 +98,24 @@
             },
             delimiter = '|')
     void unreadableEntryCountsForWhatItSaysForSure(String unreadable, String becomes) throws Exception {
-        watched();
+        startWatched();
         String entry = unreadable
                 .replace('\'', '"')
                 .replace("ADDRESS", entry(0, "active").getString("address"));
         for (boolean whole : new boolean[] {false, true}) {
-            String here = list(8, true, entry(0, "active"), entry(1, "active"));
-            discovery.line(here);
-            String line = list(9, whole, entry(1, "active"));
-            discovery.line(line.replace("[{", "[" + entry + ",{"));
-            told(whole ? 4 : 2);
-            int first = shares("t" + whole)[0];
+            String here = listLine(8, true, entry(0, "active"), entry(1, "active"));
+            discovery.writeLine(here);
+            String line = listLine(9, whole, entry(1, "active"));
+            discovery.writeLine(line.replace("[{", "[" + entry + ",{"));
+            awaitListLines(whole ? 4 : 2);
+            int first = requestsPerEndpoint("t" + whole)[0];
             boolean stays = becomes.equals("stays") || (becomes.equals("absent") && !whole);
             assertTrue(stays ? first > 0 : first == 0, (whole ? "whole: " : "change: ") + first);
             // One that has left needs no more than its name to be read.
             boolean readable = unreadable.contains("'s-") && unreadable.contains("'left'");
             assertEquals(readable ? 0 : whole ? 2 : 1, counters().getLong("list_entries_bad"));
         }
-        assertEquals(1, discovery.seen.size());
+        assertEquals(1, discovery.requests.size());
     }
 
     /**
@@ -122,13 +124,13 @@
      */
     @Test
     void unfinishedLineIsRequestedAgain() throws Exception {
-        watched();
+        startWatched();
         discovery.write(0, "{\"index\":8,\"snapshot\":false,\"endpoints\":[");
-        discovery.beats = true;
-        within(5_000, () -> discovery.seen.size() == 2);
-        discovery.write(1, list(8, false, entry(0, "leaving")) + "\n");
-        told(1);
-        assertEquals(0, shares("t")[0]);
+        discovery.heartbeats = true;
+        within(5_000, () -> discovery.requests.size() == 2);
+        discovery.write(1, listLine(8, false, entry(0, "leaving")) + "\n");
+        awaitListLines(1);
+        assertEquals(0, requestsPerEndpoint("t")[0]);
     }
 
     /**
@@ -138,21 +140,21 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void lineAndTheEndOfItsWatchInOneTurn(boolean reset) throws Exception {
-        watched();
-        discovery.line(list(8, false));
-        told(1);
+        startWatched();
+        discovery.writeLine(listLine(8, false));
+        awaitListLines(1);
         signal("STOP");
-        eventually(this::stopped);
-        discovery.line(list(9, false, entry(0, "leaving")));
-        discovery.end(0, reset);
+        eventually(this::allThreadsStopped);
+        discovery.writeLine(listLine(9, false, entry(0, "leaving")));
+        discovery.closeConnection(0, reset);
         signal("CONT");
-        eventually(() -> discovery.seen.size() == 2);
-        String asked = discovery.seen.get(1);
+        eventually(() -> discovery.requests.size() == 2);
+        String asked = discovery.requests.get(1);
         // A reset may cost what had not been read; then the change is asked for.
         assertTrue(asked.contains("index=9 ") || (reset && asked.contains("index=8 ")), asked);
-        discovery.line(list(10, false, entry(0, "leaving")));
-        told(asked.contains("index=9 ") ? 3 : 2);
-        assertEquals(0, shares("t")[0]);
+        discovery.writeLine(listLine(10, false, entry(0, "leaving")));
+        awaitListLines(asked.contains("index=9 ") ? 3 : 2);
+        assertEquals(0, requestsPerEndpoint("t")[0]);
     }
 
     /**
@@ -161,26 +163,26 @@
      */
     @Test
     void lineIsAppliedBeforeTransactionsOfTheSameTurn() throws Exception {
-        watched();
+        startWatched();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
-            clients.get(i).ask(transaction("quote", "t" + i, 900));
+            clients.get(i).exchange(transaction("quote", "t" + i, 900));
         }
-        int before = at[0].seen.size();
+        int before = stubs[0].requests.size();
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         for (int i = 0; i < 20; i++) {
             clients.get(i).write(transaction("post-charge", "u" + i, 9_000));
         }
-        discovery.line(list(8, false, entry(0, "left")));
+        discovery.writeLine(listLine(8, false, entry(0, "left")));
         // Past any grace; and more than the loop's own lateness on a busy machine.
         pause(1_100);
         signal("CONT");
         for (TestClient each : clients) {
             assertTrue(each.read().startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(before, at[0].seen.size());
+        assertEquals(before, stubs[0].requests.size());
     }
 
     /** An attempt waits for its connection while the list says that its endpoint drains, left, or is there again. */
@@ -194,19 +196,19 @@
                 queue.add(new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort()));
             }
             JsonObject there = entry(0, "active").put("address", "127.0.0.1:" + full.getLocalPort());
-            known = new JsonArray().add(there);
-            watched();
+            initialEndpoints = new JsonArray().add(there);
+            startWatched();
             TestClient client = client();
             client.write(transaction("post-charge", "t", 30_000));
             eventually(() -> counters().getLong("connects", 0L) == 1);
             JsonObject gone = there.copy().put("status", says.equals("again") ? "left" : says);
-            discovery.line(list(8, false, gone));
+            discovery.writeLine(listLine(8, false, gone));
             if (says.equals("again")) {
                 // Under the same name, at another address.
-                discovery.line(list(9, false, entry(0, "active")));
+                discovery.writeLine(listLine(9, false, entry(0, "active")));
             }
-            discovery.line(list(10, false, entry(1, "active")));
-            told(says.equals("again") ? 3 : 2);
+            discovery.writeLine(listLine(10, false, entry(1, "active")));
+            awaitListLines(says.equals("again") ? 3 : 2);
             for (Socket each : queue) {
                 each.close();
                 full.accept().close();
@@ -223,7 +225,7 @@
 
     private boolean tries(int endpoint) {
         try {
-            return shares("x" + System.nanoTime())[endpoint] == 0;
+            return requestsPerEndpoint("x" + System.nanoTime())[endpoint] == 0;
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
--- a/sidecar/src/test/java/trestlegrade/integration/Gate.java
+++ b/sidecar/src/test/java/trestlegrade/integration/Gate.java
@@ -9,7 +9,7 @@
 final class Gate {
     private final CountDownLatch open = new CountDownLatch(1);
 
-    void pass() {
+    void awaitOpen() {
         try {
             assertTrue(open.await(30, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
--- a/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -26,7 +26,7 @@
 
 /** The end of the program and new settings meet what is being taken, read and answered. */
 class GracefulShutdownIT extends SidecarFixture {
-    private final StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
+    private final StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
 
     private static JsonObject limits(JsonObject settings, long limit, long goal) {
         return settings.put(
@@ -71,7 +71,7 @@
     @Test
     void withShortLimitsWhatCameDuringAStallIsAnsweredBeforeTheEnd() throws Exception {
         limits(settings(), 300, 150);
-        serve();
+        startAndAwaitHealthy();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             clients.add(client());
@@ -80,7 +80,7 @@
         process.destroy();
         eventually(() -> log().contains("code=draining"));
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         for (int i = 10; i < 40; i++) {
             clients.add(client());
         }
@@ -110,7 +110,7 @@
     @Test
     void withShortLimitsItServesAsLongAsClientsCome() throws Exception {
         limits(settings(), 300, 150);
-        serve();
+        startAndAwaitHealthy();
         TestClient kept = client();
         answered(ask(kept, "t"));
         long start = System.nanoTime();
@@ -119,13 +119,13 @@
             answered(ask(client(), "u" + System.nanoTime()));
             answered(ask(kept, "v" + System.nanoTime()));
         }
-        endpoint.answers = r -> HANG;
+        endpoint.responder = r -> HANG;
         ask(kept, "w");
         if (System.nanoTime() - start < 700_000_000L) {
             answered(kept);
         } else {
             // The test's own thread was late, and idle connections are ended by now: it may cross that, unread.
-            assertTrue(kept.read().startsWith("HTTP/1.1 ") || !endpoint.saw("w"), "read, and not answered");
+            assertTrue(kept.read().startsWith("HTTP/1.1 ") || !endpoint.received("w"), "read, and not answered");
         }
         closedWithin(1_000, start, kept);
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
@@ -140,7 +140,7 @@
     void whoWaitsInTheListenersQueueIsAnsweredBeforeItEnds() throws Exception {
         sockets = 64;
         limits(settings(), 1_000, 400);
-        serve();
+        startAndAwaitHealthy();
         for (int i = 0; i < DescriptorBudget.forClients(sockets).limit(); i++) {
             client();
         }
@@ -161,11 +161,11 @@
     @Test
     void whatWasTakenUnderLongerLimitsIsAnsweredBeforeTheEndUnderShorterOnes() throws Exception {
         limits(settings(), 9_000, 4_000);
-        endpoint.answers = r -> HANG;
-        serve();
+        endpoint.responder = r -> HANG;
+        startAndAwaitHealthy();
         TestClient client = client();
         client.write(transaction("post-charge", "t", 8_000));
-        eventually(() -> endpoint.saw("t"));
+        eventually(() -> endpoint.received("t"));
         reread(limits(settings().copy(), 400, 200));
         long start = System.nanoTime();
         process.destroy();
@@ -179,13 +179,13 @@
     @ValueSource(longs = {9_000, 100})
     void newSettingsBehindTheWordToEndDoNotMoveTheEnd(long limit) throws Exception {
         limits(settings(), 1_500, 600);
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
-        client.ask(transaction("post-charge", "t", 1_500));
-        endpoint.answers = r -> HANG;
+        client.exchange(transaction("post-charge", "t", 1_500));
+        endpoint.responder = r -> HANG;
         TestClient open = client();
         open.write(transaction("post-charge", "u", 1_500));
-        eventually(() -> endpoint.saw("u"));
+        eventually(() -> endpoint.received("u"));
         long start = System.nanoTime();
         process.destroy();
         eventually(() -> log().contains("code=draining"));
@@ -202,7 +202,7 @@
     @Test
     void whoWasJustLetInAtTheEndMaySendWhatItBrings() throws Exception {
         limits(settings(), 300, 150);
-        serve();
+        startAndAwaitHealthy();
         long start = System.nanoTime();
         process.destroy();
         List<TestClient> clients = new ArrayList<>();
@@ -225,9 +225,9 @@
      */
     @Test
     void ofTwoWordsToRereadTheLaterHolds() throws Exception {
-        serve();
+        startAndAwaitHealthy();
         StubDiscovery[] places = {new StubDiscovery(r -> HANG), new StubDiscovery(r -> HANG)};
-        opened.addAll(List.of(places));
+        closeables.addAll(List.of(places));
         Path file = dir.resolve("config.json");
         JsonObject before = new JsonObject(Files.readString(file));
         Files.delete(file);
@@ -238,7 +238,7 @@
         pause(200);
         giveDiscovery(first, before, places[0]);
         giveDiscovery(readBySidecar(file), before, places[1]);
-        eventually(() -> !places[1].seen.isEmpty());
+        eventually(() -> !places[1].requests.isEmpty());
     }
 
     /**
@@ -250,7 +250,7 @@
         Process writer = new ProcessBuilder(
                         "sh", "-c", "exec 3> \"$0\" && echo opened && exec cat >&3", pipe.toString())
                 .start();
-        opened.add(writer::destroyForcibly);
+        closeables.add(writer::destroyForcibly);
         eventually(() -> available(writer) > 0);
         return writer.getOutputStream();
     }
@@ -278,7 +278,7 @@
     /** Connections are kept until the end is near, but not for one that has stopped in the midst of its request. */
     @Test
     void halfARequestIsNotHeldUntilTheEnd() throws Exception {
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         answered(ask(client, "t", 1_500));
         process.destroy();
--- a/sidecar/src/test/java/trestlegrade/integration/HttpText.java
+++ b/sidecar/src/test/java/trestlegrade/integration/HttpText.java
@@ -17,7 +17,7 @@
     }
 
     /** A response with a Content-Length; the headers end with a line break each. */
-    static String answer(int status, String headers, String body) {
+    static String response(int status, String headers, String body) {
         return "HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
--- a/sidecar/src/test/java/trestlegrade/integration/IgnoredSignalsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/IgnoredSignalsIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.StubServer.HANG;
 
 import io.vertx.core.json.JsonObject;
@@ -27,27 +27,27 @@
 
     @BeforeEach
     void oneEndpoint() {
-        endpoint(r -> answer(200, "", "good"));
+        endpoint(r -> response(200, "", "good"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"nohup", "trap"})
     void reloadIsHeardThoughTheParentIgnoresSighup(String parent) throws Exception {
         StubDiscovery elsewhere = new StubDiscovery(r -> HANG);
-        opened.add(elsewhere);
+        closeables.add(elsewhere);
         launcher = parent.equals("nohup") ? List.of("nohup") : IGNORING;
-        serve();
+        startAndAwaitHealthy();
         Path file = dir.resolve("config.json");
         JsonObject moved = new JsonObject(Files.readString(file)).put("discovery", "127.0.0.1:" + elsewhere.port());
         Files.writeString(file, moved.encode());
         signal("HUP");
-        eventually(() -> elsewhere.seen.size() == 1);
+        eventually(() -> elsewhere.requests.size() == 1);
     }
 
     @Test
     void itShutsDownGracefullyThoughTheParentIgnoresSigterm() throws Exception {
         launcher = IGNORING;
-        serve();
+        startAndAwaitHealthy();
         signal("TERM");
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
@@ -57,14 +57,14 @@
     @Test
     void aStartThatLeavesThemIgnoredIsToldInTheLogAndByAGauge() throws Exception {
         launcher = List.of("sh", "-c", "trap '' HUP TERM; while [ \"$1\" != java ]; do shift; done; exec \"$@\"", "sh");
-        serve();
+        startAndAwaitHealthy();
         eventually(() -> log().contains("serve code=signals-ignored signals=[HUP, TERM]"));
         assertEquals(2, counters().getJsonObject("now").getLong("ignored_signals"));
     }
 
     @Test
     void anOrdinaryStartIgnoresNone() throws Exception {
-        serve();
+        startAndAwaitHealthy();
         assertEquals(0, counters().getJsonObject("now").getLong("ignored_signals"));
         assertTrue(!log().contains("signals-ignored"), log());
     }
--- a/sidecar/src/test/java/trestlegrade/integration/MalformedResponsesIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/MalformedResponsesIT.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.CLOSE;
 import static trestlegrade.integration.StubServer.HANG;
@@ -47,25 +47,25 @@
         AtomicInteger asked = new AtomicInteger();
         Function<String, String> oddOnesSpoilt = r -> asked.getAndIncrement() % 2 == 0
                 ? answer.replace("\\r", "\r").replace("\\n", "\n")
-                : answer(200, "", header(r, "X-Trace-Id"));
+                : response(200, "", header(r, "X-Trace-Id"));
         StubEndpoint first = endpoint(oddOnesSpoilt);
         StubEndpoint second = endpoint(oddOnesSpoilt);
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         for (int i = 0; i < 3; i++) {
             long start = System.nanoTime();
-            String got = client.ask(transaction("quote", "t" + i, 1_400));
+            String got = client.exchange(transaction("quote", "t" + i, 1_400));
             assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("t" + i), got);
-            got = client.ask(transaction("post-charge", "u" + i, 2_000));
+            got = client.exchange(transaction("post-charge", "u" + i, 2_000));
             assertTrue(got.startsWith("HTTP/1.1 502 "), got);
             long took = (System.nanoTime() - start) / 1_000_000;
             assertTrue(took < (code.equals("unfinished") ? 800 : 200), "after " + took + " ms");
-            assertTrue(client.ask(transaction("post-charge", "v" + i, 500)).endsWith("v" + i));
+            assertTrue(client.exchange(transaction("post-charge", "v" + i, 500)).endsWith("v" + i));
         }
         // A connection's end is counted a few turns of the loop behind the answer that it brought about.
         eventually(() -> ended("pooled:" + code) >= 6);
         assertEquals(6, ended("pooled:" + code));
-        assertEquals(12, first.seen.size() + second.seen.size());
+        assertEquals(12, first.requests.size() + second.requests.size());
     }
 
     private long ended(String code) {
@@ -90,15 +90,15 @@
                 default -> mine;
             };
         });
-        endpoint.afterwards = fault.equals("later") ? good + "xx" : fault.equals("ends") ? CLOSE : HANG;
-        serve();
+        endpoint.trailingData = fault.equals("later") ? good + "xx" : fault.equals("ends") ? CLOSE : HANG;
+        startAndAwaitHealthy();
         boolean kept = fault.equals("interim") || fault.equals("report");
         for (int round = 0; round < 20; round++) {
             List<TestClient> pair = List.of(client(), client());
             for (int i = 0; i < 10; i++) {
                 for (TestClient each : pair) {
                     String trace = pair.indexOf(each) + "" + i;
-                    String got = each.ask(transaction(kept ? "quote" : "post-charge", trace, 900));
+                    String got = each.exchange(transaction(kept ? "quote" : "post-charge", trace, 900));
                     assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + trace), got);
                 }
             }
@@ -108,7 +108,7 @@
         boolean blamed = Stream.of("excess", "spoilt", "unfinished", "endpoint-closed", "broken")
                 .anyMatch(code -> ended.containsKey("pooled:" + code));
         assertTrue(
-                kept ? endpoint.connections.get() < 200 && !blamed : endpoint.connections.get() >= 200,
-                () -> endpoint.connections.get() + " connections, " + ended.encode());
+                kept ? endpoint.connectionCount.get() < 200 && !blamed : endpoint.connectionCount.get() >= 200,
+                () -> endpoint.connectionCount.get() + " connections, " + ended.encode());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/PolicySettingsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/PolicySettingsIT.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -25,7 +25,7 @@
     /** Names are the settings' own, in the field or else in the path, and none is taken for another. */
     @Test
     void profilesGoByTheirWholeNames() throws Exception {
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
         List<String> names = List.of("p", "pay", "pay-check", "Pay", "gr\u00f6\u00dfte", "a'b\"c*", "x.%7E;y");
         JsonArray profiles = new JsonArray();
         for (String name : names) {
@@ -38,25 +38,25 @@
                     .put("revenue", 1));
         }
         settings().put("profiles", profiles);
-        serve();
+        startAndAwaitHealthy();
         for (boolean field : new boolean[] {true, false}) {
             for (String name : names) {
-                String got = client().ask("POST /" + bytes(name) + "?k=1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: "
+                String got = client().exchange("POST /" + bytes(name) + "?k=1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: "
                         + names.indexOf(name) + field + "\r\n" + (field ? "X-Qos: " + bytes(name) + "\r\n" : "")
                         + "Content-Length: 0\r\n\r\n");
                 assertEquals("200", got.substring(9, 12), name + " " + field);
-                String attempt = endpoint.seen.get(endpoint.seen.size() - 1);
+                String attempt = endpoint.requests.get(endpoint.requests.size() - 1);
                 double left = Double.parseDouble(header(attempt, "X-Expires-In").replace("u", "")) / 1_000;
                 double limit = 1_000 * Math.pow(3, names.indexOf(name));
                 assertTrue(left > limit / 2 && left <= limit, name + " had " + left);
             }
             for (String name : List.of("pa", "PAY", "pay-", "grosste", "x.~;y")) {
-                String got = client().ask("POST /" + name + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + name + field
+                String got = client().exchange("POST /" + name + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + name + field
                         + "\r\n" + (field ? "X-Qos: " + name + "\r\n" : "") + "Content-Length: 0\r\n\r\n");
                 assertEquals("404", got.substring(9, 12), name);
             }
         }
-        assertEquals(2 * names.size(), endpoint.seen.size());
+        assertEquals(2 * names.size(), endpoint.requests.size());
     }
 
     /** One attempt at the most, nothing called off, no word when to come back: each has its one answer in time. */
@@ -80,18 +80,18 @@
                                 .encode()
                                 .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":" + limit)
                                 .replaceAll("\"service_goal\":\\d+", "\"service_goal\":" + limit / 2)));
-        known = new JsonArray().add(entry(0, "active").put("zone", ""));
-        serve();
+        initialEndpoints = new JsonArray().add(entry(0, "active").put("zone", ""));
+        startAndAwaitHealthy();
         int wait = Math.min(limit, 2_000);
         TestClient client = client();
         for (String profile : List.of("quote", "post-charge")) {
             long start = System.nanoTime();
-            String got = client.ask(transaction(profile, "t-" + profile, wait));
+            String got = client.exchange(transaction(profile, "t-" + profile, wait));
             long took = (System.nanoTime() - start) / 1_000_000;
             assertEquals(profile.equals("quote") ? "503" : "502", got.substring(9, 12));
             assertTrue(!got.contains("Retry-After"), got);
             assertTrue(took <= wait + 50, "after " + took + " ms of " + wait);
         }
-        assertEquals(2, silent.seen.size());
+        assertEquals(2, silent.requests.size());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/PooledConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/PooledConnectionsIT.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 
 import java.util.ArrayList;
@@ -27,14 +27,14 @@
     void aSecondAnswerThatComesLateReachesNobody(String profile) throws Exception {
         // The next attempt's own answer comes later than the stray one.
         StubEndpoint endpoint = answersTwice(12, 8);
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         for (int i = 0; i < 60; i++) {
-            String got = client.ask(transaction(profile, "t" + i, 900));
+            String got = client.exchange(transaction(profile, "t" + i, 900));
             String whose = got.substring(got.indexOf("\r\n\r\n") + 4);
             assertTrue(
                     got.startsWith("HTTP/1.1 200 ") && whose.equals("t" + i),
-                    () -> got + ", written " + endpoint.strayed.getOrDefault(whose, 0L) / 1_000_000
+                    () -> got + ", written " + endpoint.duplicateDelayNanos.getOrDefault(whose, 0L) / 1_000_000
                             + " ms behind its first");
             // The connection has been looked at since its answer, and the stray one is not there yet.
             pause(4);
@@ -52,22 +52,22 @@
     @ParameterizedTest
     @ValueSource(strings = {"quote", "post-charge"})
     void aSecondAnswerThatIsHeldBackReachesNobody(String profile) throws Exception {
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
-        patient();
-        serve();
+        StubEndpoint endpoint = endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
+        useLongTimeouts();
+        startAndAwaitHealthy();
         TestClient client = client();
         // A machine that is late itself writes none in some rounds.
-        for (int round = 0; endpoint.strayed.size() < 6; round++) {
+        for (int round = 0; endpoint.duplicateDelayNanos.size() < 6; round++) {
             for (int i = 0; i < 5; i++) {
-                client.ask(transaction(profile, "warm" + round + "-" + i, 30_000));
+                client.exchange(transaction(profile, "warm" + round + "-" + i, 30_000));
                 pause(36);
             }
-            endpoint.straysAfter = 8;
-            client.ask(transaction(profile, "t" + round, 30_000));
+            endpoint.duplicateAfterMillis = 8;
+            client.exchange(transaction(profile, "t" + round, 30_000));
             // Rested, and free for the next one.
             pause(36);
-            endpoint.straysAfter = 0;
-            String got = client.ask(transaction(profile, "u" + round, 30_000));
+            endpoint.duplicateAfterMillis = 0;
+            String got = client.exchange(transaction(profile, "u" + round, 30_000));
             assertTrue(got.endsWith("\r\n\r\nu" + round), got);
         }
         eventually(() -> counters().getJsonObject("connections_ended").getLong("pooled:excess", 0L) >= 6);
@@ -81,14 +81,14 @@
     @ValueSource(strings = {"quote", "post-charge"})
     void aSecondAnswerBehindTheQuarantineReachesNobodyOnceOneWasSeen(String profile) throws Exception {
         answersTwice(40, 2 * AttemptSender.QUARANTINE_MILLIS);
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         for (int seen = 0; seen == 0; seen = excessBytesSeen()) {
-            client.ask(transaction(profile, "first", 900));
+            client.exchange(transaction(profile, "first", 900));
             pause(3 * AttemptSender.QUARANTINE_MILLIS);
         }
         for (int i = 0; i < 20; i++) {
-            String got = client.ask(transaction(profile, "t" + i, 900));
+            String got = client.exchange(transaction(profile, "t" + i, 900));
             assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\nt" + i), got);
             // The quarantine of the connection is over, and the stray answer is still to come.
             pause(AttemptSender.QUARANTINE_MILLIS + 8);
@@ -99,9 +99,9 @@
     private StubEndpoint answersTwice(int answerMillis, int strayMillis) {
         StubEndpoint endpoint = endpoint(r -> {
             pause(answerMillis);
-            return answer(200, "", header(r, "X-Trace-Id"));
+            return response(200, "", header(r, "X-Trace-Id"));
         });
-        endpoint.straysAfter = strayMillis;
+        endpoint.duplicateAfterMillis = strayMillis;
         return endpoint;
     }
 
@@ -113,23 +113,23 @@
     @ParameterizedTest
     @ValueSource(strings = {"end", "reset", "half a line"})
     void anIdleConnectionEndsInTheTurnInWhichItWouldBeTaken(String happens) throws Exception {
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
-        serve();
+        StubEndpoint endpoint = endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
+        startAndAwaitHealthy();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             clients.add(client());
-            clients.get(i).ask(transaction("quote", "t" + i, 900));
+            clients.get(i).exchange(transaction("quote", "t" + i, 900));
         }
         // Rested, so that attempts which may not be repeated are trusted to them too.
         pause(100);
-        int pooled = endpoint.connections.get();
+        int pooled = endpoint.connectionCount.get();
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         for (int i = 0; i < pooled; i++) {
             if (happens.equals("half a line")) {
                 endpoint.send(i, "HTTP/1.1 20");
             } else {
-                endpoint.end(i, happens.equals("reset"));
+                endpoint.closeConnection(i, happens.equals("reset"));
             }
         }
         for (TestClient each : clients) {
@@ -142,7 +142,7 @@
             assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("u" + clients.indexOf(each)), got);
         }
         assertEquals(
-                10, endpoint.seen.stream().filter(r -> r.startsWith("POST")).count());
+                10, endpoint.requests.stream().filter(r -> r.startsWith("POST")).count());
     }
 
     /**
@@ -153,19 +153,19 @@
         Gate gate = new Gate();
         StubEndpoint endpoint = endpoint(r -> {
             if (header(r, "X-Trace-Id").startsWith("u")) {
-                gate.pass();
+                gate.awaitOpen();
             }
-            return answer(200, "", header(r, "X-Trace-Id"));
+            return response(200, "", header(r, "X-Trace-Id"));
         });
-        serve();
+        startAndAwaitHealthy();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
             clients.get(i).write(transaction(i % 2 == 0 ? "quote" : "post-charge", "u" + i, 1_000));
         }
-        eventually(() -> endpoint.seen.size() == 20);
+        eventually(() -> endpoint.requests.size() == 20);
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         gate.open();
         // Past the ends of all, with a quarter of the wait kept before each.
         pause(1_100);
@@ -180,7 +180,7 @@
         // One answer to each: the next on the same connection is the next one's own.
         for (TestClient each : clients) {
             String trace = "v" + clients.indexOf(each);
-            String got = each.ask(transaction("quote", trace, 900));
+            String got = each.exchange(transaction("quote", trace, 900));
             assertTrue(got.endsWith("\r\n\r\n" + trace) || got.startsWith("HTTP/1.1 503 "), got);
         }
         assertEquals(
--- a/sidecar/src/test/java/trestlegrade/integration/RejectedRequestsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/RejectedRequestsIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 
 import io.vertx.core.json.JsonObject;
@@ -46,17 +46,17 @@
      */
     @Test
     void malformedRequestsGetA4xxAndServingGoesOn() throws Exception {
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
-        serve();
+        StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         for (String[] each : MALFORMED_REQUESTS) {
-            String got = client().ask(each[1]);
+            String got = client().exchange(each[1]);
             assertEquals(
                     each[0],
                     got.length() < 12 ? got : got.substring(9, 12),
                     each[1].substring(0, Math.min(80, each[1].length())));
         }
-        assertEquals(List.of(), endpoint.seen);
-        assertTrue(client().ask(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
+        assertEquals(List.of(), endpoint.requests);
+        assertTrue(client().exchange(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
         JsonObject rejected = counters().getJsonObject("rejected");
         assertEquals(
                 MALFORMED_REQUESTS.length,
@@ -72,20 +72,20 @@
      */
     @Test
     void conflictingLengthsAreRejectedAndEndTheConnection() throws Exception {
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
-        serve();
+        StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         String inner = transaction("post-charge", "inner", 500);
         for (String lengths : List.of(
                 "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
                 "Transfer-Encoding: chunked\r\nContent-Length: " + (5 + inner.length()) + "\r\n",
                 "Content-Length: 3\r\nTransfer-Encoding: xchunked\r\n")) {
             TestClient client = client();
-            String got = client.ask(
+            String got = client.exchange(
                     "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n" + lengths + "\r\n0\r\n\r\n" + inner);
             assertTrue(got.startsWith("HTTP/1.1 400 "), got);
             assertEquals("", client.read());
         }
-        assertEquals(List.of(), endpoint.seen);
+        assertEquals(List.of(), endpoint.requests);
     }
 
     /**
@@ -96,22 +96,22 @@
     void duplicateTraceIdIsRejectedWhileItsOwnerIsServed() throws Exception {
         StubEndpoint endpoint = endpoint(r -> {
             pause(500);
-            return answer(200, "", "good");
+            return response(200, "", "good");
         });
-        serve();
+        startAndAwaitHealthy();
         TestClient owner = client();
         owner.write(transaction("post-charge", "t", 2_000));
-        eventually(() -> endpoint.saw("t"));
+        eventually(() -> endpoint.received("t"));
         for (int i = 0; i < 2; i++) {
-            assertTrue(client().ask(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 409 "));
+            assertTrue(client().exchange(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 409 "));
         }
         assertTrue(owner.read().startsWith("HTTP/1.1 200 "));
-        assertEquals(1, endpoint.seen.size());
-        assertTrue(owner.ask(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 200 "));
+        assertEquals(1, endpoint.requests.size());
+        assertTrue(owner.exchange(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 200 "));
         owner.write(transaction("post-charge", "t", 2_000));
-        eventually(() -> endpoint.seen.size() == 3);
+        eventually(() -> endpoint.requests.size() == 3);
         owner.close();
         eventually(() -> counters().getLong("clients_left") == 1);
-        assertTrue(client().ask(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 200 "));
+        assertTrue(client().exchange(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 200 "));
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/ResourceUseIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ResourceUseIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -24,10 +24,10 @@
      */
     @Test
     void doesNotLoadTheFlightRecorderOrTheCommandLine() throws Exception {
-        endpoint(r -> answer(200, "", "x".repeat(64 << 10)));
-        verbose = true;
-        serve();
-        assertTrue(client().ask(transaction("quote", "t", 900)).startsWith("HTTP/1.1 200 "));
+        endpoint(r -> response(200, "", "x".repeat(64 << 10)));
+        logClassLoading = true;
+        startAndAwaitHealthy();
+        assertTrue(client().exchange(transaction("quote", "t", 900)).startsWith("HTTP/1.1 200 "));
         List<String> loaded = Files.readAllLines(dir.resolve("log"), StandardCharsets.ISO_8859_1).stream()
                 .filter(line -> line.contains("[class,load"))
                 .toList();
@@ -47,7 +47,7 @@
     @Test
     void idleEventLoopSleepsBetweenItsTimers() throws Exception {
         endpoint(r -> HANG);
-        serve();
+        startAndAwaitHealthy();
         long before = counters().getLong("loop_turns");
         long start = System.nanoTime();
         pause(2_000);
@@ -66,9 +66,9 @@
         String body = "x".repeat(64 << 10);
         endpoint(r -> {
             pause(500);
-            return answer(200, "", body);
+            return response(200, "", body);
         });
-        serve();
+        startAndAwaitHealthy();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             clients.add(client());
@@ -96,12 +96,12 @@
      */
     @Test
     void unreadLogBlocksNeitherServingNorShutdown() throws Exception {
-        endpoint(r -> answer(200, "", "good"));
-        output = ProcessBuilder.Redirect.PIPE;
-        serve();
+        endpoint(r -> response(200, "", "good"));
+        logOutput = ProcessBuilder.Redirect.PIPE;
+        startAndAwaitHealthy();
         for (int i = 0; i < 4_000; i++) {
             try (TestClient client = new TestClient(port)) {
-                assertTrue(client.ask(transaction("quote", "t" + i, 1_000)).startsWith("HTTP/1.1 200 "));
+                assertTrue(client.exchange(transaction("quote", "t" + i, 1_000)).startsWith("HTTP/1.1 200 "));
             }
         }
         assertTrue(counters().getLong("log_lines_dropped") > 0);
--- a/sidecar/src/test/java/trestlegrade/integration/ResponseReaderIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ResponseReaderIT.java
@@ -23,13 +23,13 @@
     private void out(String trace) throws Exception {
         client = client();
         client.write(transaction("post-charge", trace, 30_000));
-        eventually(() -> endpoint.saw(trace));
+        eventually(() -> endpoint.received(trace));
     }
 
     private void begin() throws Exception {
-        patient();
+        useLongTimeouts();
         endpoint = endpoint(r -> HANG);
-        serve();
+        startAndAwaitHealthy();
     }
 
     /**
@@ -68,14 +68,14 @@
             out(order);
             if (order.equals("in one turn")) {
                 signal("STOP");
-                eventually(this::stopped);
+                eventually(this::allThreadsStopped);
             }
             endpoint.send(text);
             if (order.equals("later")) {
                 // Read by then, and sooner than one that stays a part is given up.
                 pause(100);
             }
-            endpoint.end(endpoint.connections.get() - 1, reset);
+            endpoint.closeConnection(endpoint.connectionCount.get() - 1, reset);
             signal("CONT");
             String got = client.read();
             assertEquals(status, Integer.parseInt(got.substring(9, 12)), order + ": " + got);
@@ -95,7 +95,7 @@
             pause(200);
             endpoint.send("" + i);
         }
-        endpoint.end(0, false);
+        endpoint.closeConnection(0, false);
         String got = client.read();
         assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n0123456789"), got);
     }
@@ -113,7 +113,7 @@
             endpoint.send(NO_LENGTH.replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nbo"));
             pause(50);
             signal("STOP");
-            eventually(this::stopped);
+            eventually(this::allThreadsStopped);
             endpoint.send("dy");
             pause(400);
             signal("CONT");
--- a/sidecar/src/test/java/trestlegrade/integration/RetryIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/RetryIT.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.CLOSE;
 
@@ -32,26 +32,26 @@
         "quote, unsure, 200", "post-charge, unsure, 502"
     })
     void retriesOnlyWhatMayBeRepeated(String profile, String fault, int status) throws Exception {
-        StubEndpoint good = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint good = endpoint(r -> response(200, "", "good"));
         StubEndpoint bad = endpoint(r -> switch (fault) {
-            case "turned-away" -> answer(503, "X-Never-Ran: 1\r\n", "");
-            case "error" -> answer(500, "X-Never-Ran: 1\r\n", "");
-            case "unsure" -> answer(503, "", "");
+            case "turned-away" -> response(503, "X-Never-Ran: 1\r\n", "");
+            case "error" -> response(500, "X-Never-Ran: 1\r\n", "");
+            case "unsure" -> response(503, "", "");
             case "closes-midway" -> "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf";
             default -> CLOSE;
         });
         if (fault.equals("not-listening")) {
             bad.close();
         }
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         int statusAtBad = 0;
         for (int i = 0; i < 200 && statusAtBad == 0; i++) {
             String trace = "t" + i;
-            String got = client.ask(transaction(profile, trace, 900));
+            String got = client.exchange(transaction(profile, trace, 900));
             int now = Integer.parseInt(got.substring(9, 12));
-            boolean atGood = good.saw(trace);
-            if (bad.saw(trace)) {
+            boolean atGood = good.received(trace);
+            if (bad.received(trace)) {
                 statusAtBad = now;
                 assertEquals(status == 200, atGood, "at the good one too");
             } else {
@@ -61,8 +61,8 @@
         }
         assertEquals(status, statusAtBad);
         assertEquals(
-                bad.seen.size(),
-                bad.seen.stream().map(s -> header(s, "X-Trace-Id")).distinct().count());
+                bad.requests.size(),
+                bad.requests.stream().map(s -> header(s, "X-Trace-Id")).distinct().count());
     }
 
     /**
@@ -74,31 +74,31 @@
         try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             for (int i = 0; i < 3; i++) {
                 Socket filler = new Socket();
-                opened.add(filler);
+                closeables.add(filler);
                 try {
                     filler.connect(silent.getLocalSocketAddress(), 100);
                 } catch (IOException e) {
                     // The queue of the listener is full, as it shall be.
                 }
             }
-            StubEndpoint good = endpoint(r -> answer(200, "", "good"));
-            known = new JsonArray()
+            StubEndpoint good = endpoint(r -> response(200, "", "good"));
+            initialEndpoints = new JsonArray()
                     .add(entry(0, "active"))
                     .add(entry(0, "active")
                             .put("name", "s-silent")
                             .put("address", "127.0.0.1:" + silent.getLocalPort()));
-            serve();
+            startAndAwaitHealthy();
             TestClient client = client();
             long slowest = 0;
             // After a quarter of a second without a commit the decisions may roll back early, too: never more.
             for (int i = 0; i < 40; i++) {
                 long start = System.nanoTime();
-                String got = client.ask(transaction("post-charge", "t" + i, 2_000));
+                String got = client.exchange(transaction("post-charge", "t" + i, 2_000));
                 assertTrue(got.startsWith("HTTP/1.1 200 ") || got.startsWith("HTTP/1.1 503 "), got);
                 slowest = Math.max(slowest, (System.nanoTime() - start) / 1_000_000);
-                assertEquals(got.startsWith("HTTP/1.1 200 "), good.saw("t" + i));
+                assertEquals(got.startsWith("HTTP/1.1 200 "), good.received("t" + i));
             }
-            assertTrue(good.seen.size() >= 10, good.seen.size() + " committed");
+            assertTrue(good.requests.size() >= 10, good.requests.size() + " committed");
             assertTrue(slowest >= 240 && slowest < 600, "slowest after " + slowest + " ms");
         }
     }
--- a/sidecar/src/test/java/trestlegrade/integration/ScaleIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ScaleIT.java
@@ -42,7 +42,7 @@
 
     /** All endpoints, each at an address of loopback of its own, on one thread; requests have no bodies. */
     private static final class Fleet implements AutoCloseable, Runnable {
-        private static final byte[] ANSWER = HttpText.answer(200, "", "good").getBytes(StandardCharsets.ISO_8859_1);
+        private static final byte[] ANSWER = HttpText.response(200, "", "good").getBytes(StandardCharsets.ISO_8859_1);
 
         private final Selector selector = Selector.open();
         private final List<ServerSocketChannel> listeners = new ArrayList<>();
@@ -138,7 +138,7 @@
                 Callable<Void> work = () -> {
                     TestClient client = new TestClient(port);
                     for (int j = 0; j < number / 8; j++) {
-                        String got = client.ask(transaction("quote", name + j, 9_000));
+                        String got = client.exchange(transaction("quote", name + j, 9_000));
                         assertTrue(got.startsWith("HTTP/1.1 200 "), got);
                         if ("close".equalsIgnoreCase(header(got, "Connection"))) {
                             client.close();
@@ -164,7 +164,7 @@
             try {
                 while (true) {
                     synchronized (discovery) {
-                        discovery.line("");
+                        discovery.writeLine("");
                     }
                     pause(500);
                 }
@@ -189,13 +189,13 @@
     @Test
     void aThousandEndpointsAndTheirConnections() throws Exception {
         sockets = 4 * MANY;
-        patient();
+        useLongTimeouts();
         settings().put("n_instances", 120);
-        known = new JsonArray();
+        initialEndpoints = new JsonArray();
         Fleet fleet = new Fleet(MANY);
-        opened.add(fleet);
+        closeables.add(fleet);
         start();
-        eventually(() -> discovery.seen.size() == 1);
+        eventually(() -> discovery.requests.size() == 1);
         sendWholeList(fleet);
         beats();
         within(10_000, () -> health() == 200);
@@ -212,7 +212,7 @@
             leaving[i] = fleet.entry(i, "leaving");
         }
         synchronized (discovery) {
-            discovery.line(list(9, false, leaving));
+            discovery.writeLine(listLine(9, false, leaving));
         }
         eventually(() -> counters().getLong("list_lines", 0L) == 2);
         fleet.met.clear();
@@ -233,7 +233,7 @@
         for (int i = 0; i < MANY; i++) {
             all.add(fleet.entry(i, "active"));
         }
-        String text = new JsonObject(list(8, true, all.toArray(JsonObject[]::new))).encodePrettily() + "\n";
+        String text = new JsonObject(listLine(8, true, all.toArray(JsonObject[]::new))).encodePrettily() + "\n";
         for (int i = 0; i < text.length(); i += 100_000) {
             discovery.write(0, text.substring(i, Math.min(text.length(), i + 100_000)));
         }
--- a/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 
 import io.vertx.core.json.JsonArray;
@@ -47,10 +47,10 @@
         for (int round = 0; round < ROUNDS; round++) {
             boolean there = round % 2 == 0;
             // As discovery does while nothing changes: a watch that is silent for 4.5 s is begun anew.
-            discovery.line("");
+            discovery.writeLine("");
             String held = "slow" + round;
             slow.write(transaction("post-charge", held, 30_000));
-            eventually(() -> endpoints.stream().anyMatch(e -> e.saw(held)));
+            eventually(() -> endpoints.stream().anyMatch(e -> e.received(held)));
             List<Thread> busy = startLoad(round);
             pause(30);
             Files.writeString(file, there ? moved.encode() : before);
@@ -76,17 +76,17 @@
             endpoint(r -> {
                 String trace = header(r, "X-Trace-Id");
                 if (trace.matches("slow\\d")) {
-                    gates.get(trace.charAt(4) - '0').pass();
+                    gates.get(trace.charAt(4) - '0').awaitOpen();
                 }
                 pause(trace.equals("slow-last") ? 1_200 : 2);
-                return answer(200, "", trace);
+                return response(200, "", trace);
             });
         }
         // What is open while the settings change is open until they have, however slow the machine is.
         settings().getJsonArray("profiles").getJsonObject(1).put("hard_limit", 40_000);
-        known = new JsonArray().add(entry(0, "active")).add(entry(1, "active").put("zone", "b"));
-        serve();
-        eventually(() -> discovery.seen.size() == 1);
+        initialEndpoints = new JsonArray().add(entry(0, "active")).add(entry(1, "active").put("zone", "b"));
+        startAndAwaitHealthy();
+        eventually(() -> discovery.requests.size() == 1);
     }
 
     /** The configuration with a different home zone, a profile more, and other values of what may change. */
@@ -115,7 +115,8 @@
             Thread thread = new Thread(() -> {
                 for (int n = 0; n < TRANSACTIONS_OF_A_CLIENT; n++) {
                     String trace = "t" + at.getAndIncrement();
-                    String got = client.tries(transaction(n % 2 == 0 ? "quote" : "post-charge", trace, 900));
+                    String got = client.exchangeUnchecked(
+                            transaction(n % 2 == 0 ? "quote" : "post-charge", trace, 900));
                     // On a machine that stalls some may be rolled back; none is lost, mixed up or unsure.
                     if (!got.endsWith(trace) && !got.startsWith("HTTP/1.1 503 ")) {
                         wrong.add(round + " " + got);
@@ -129,19 +130,19 @@
     }
 
     private void profileIsKnownOnlyWithTheNewSettings(int round, boolean there) throws Exception {
-        String got = client().ask(transaction("cert", "c" + round, 900));
+        String got = client().exchange(transaction("cert", "c" + round, 900));
         assertTrue(got.startsWith(there ? "HTTP/1.1 200 " : "HTTP/1.1 404 "), got);
     }
 
     /** Zones keep their names, though the settings list them in another order. */
     private void trafficFollowsTheZone(int round, boolean there) throws Exception {
-        int before = endpoints.get(0).seen.size();
+        int before = endpoints.get(0).requests.size();
         TestClient client = client();
         for (int n = 0; n < 20; n++) {
             assertTrue(
-                    client.ask(transaction("quote", "z" + round + "-" + n, 900)).startsWith("HTTP/1.1 200 "));
+                    client.exchange(transaction("quote", "z" + round + "-" + n, 900)).startsWith("HTTP/1.1 200 "));
         }
-        int away = endpoints.get(0).seen.size() - before;
+        int away = endpoints.get(0).requests.size() - before;
         assertTrue(there ? away == 0 : away > 0, "in round " + round + " " + away + " went to the other zone");
     }
 
@@ -152,14 +153,14 @@
 
     private void everythingWentOutOnce() {
         List<String> once = endpoints.stream()
-                .flatMap(e -> e.seen.stream())
+                .flatMap(e -> e.requests.stream())
                 .filter(r -> r.startsWith("POST"))
                 .map(r -> header(r, "X-Trace-Id"))
                 .toList();
         assertEquals(once.size(), once.stream().distinct().count(), "sent twice");
         assertTrue(once.size() > 400, "only " + once.size());
         assertEquals(5, log().split("code=adopted", -1).length);
-        assertEquals(1, discovery.seen.size());
+        assertEquals(1, discovery.requests.size());
         JsonObject counted = counters();
         assertEquals(counted.getLong("accepted"), counted.getLong("committed") + counted.getLong("rolled_back"));
     }
@@ -167,16 +168,16 @@
     /** What was taken under the settings before hears of a drain as well. */
     private void drainReachesWhatWasTakenBefore(TestClient slow, Path file, JsonObject moved) throws Exception {
         slow.write(transaction("quote", "slow-last", 2_000));
-        eventually(() -> endpoints.stream().anyMatch(e -> e.saw("slow-last")));
-        int holder = endpoints.get(0).saw("slow-last") ? 0 : 1;
+        eventually(() -> endpoints.stream().anyMatch(e -> e.received("slow-last")));
+        int holder = endpoints.get(0).received("slow-last") ? 0 : 1;
         Files.writeString(file, moved.encode());
         signal("HUP");
         eventually(() -> log().split("code=adopted", -1).length == 6);
-        discovery.line(list(8, false, entry(1 - holder, "leaving")));
+        discovery.writeLine(listLine(8, false, entry(1 - holder, "leaving")));
         eventually(() -> counters().getLong("list_lines") == 1);
-        int seen = endpoints.get(1 - holder).seen.size();
-        endpoints.get(holder).dropAll();
+        int seen = endpoints.get(1 - holder).requests.size();
+        endpoints.get(holder).closeAllConnections();
         assertTrue(slow.read().startsWith("HTTP/1.1 "));
-        assertEquals(seen, endpoints.get(1 - holder).seen.size());
+        assertEquals(seen, endpoints.get(1 - holder).requests.size());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/SidecarFixture.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SidecarFixture.java
@@ -36,7 +36,7 @@
     Path dir;
 
     /** Closed at the end of the test. */
-    final List<AutoCloseable> opened = new ArrayList<>();
+    final List<AutoCloseable> closeables = new ArrayList<>();
 
     final StubDiscovery discovery = new StubDiscovery(r -> HANG);
     final List<StubEndpoint> endpoints = new ArrayList<>();
@@ -48,19 +48,19 @@
     int port;
 
     /** The entries of the list with which it starts; null for all endpoints of the test. */
-    JsonArray known;
+    JsonArray initialEndpoints;
 
     /** Where it writes its log; null for the file in {@link #dir}. */
-    ProcessBuilder.Redirect output;
+    ProcessBuilder.Redirect logOutput;
 
     /** The limit on sockets in its configuration. */
     int sockets = 1024;
 
     /** Whether the system holds the process to {@link #sockets}, as the operators do. */
-    boolean descriptorsBounded;
+    boolean limitDescriptors;
 
     /** Whether the log names each class that is loaded. */
-    boolean verbose;
+    boolean logClassLoading;
 
     /** Put before the command line of the program; it has to end in that process. */
     List<String> launcher = List.of();
@@ -71,23 +71,23 @@
     private JsonObject settings;
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         if (process != null) {
             process.destroyForcibly().waitFor();
         }
         discovery.close();
-        for (AutoCloseable each : opened) {
+        for (AutoCloseable each : closeables) {
             each.close();
         }
     }
 
     /** Starts the program with the configuration of this test, and waits until it is healthy. */
-    void serve() throws Exception {
+    void startAndAwaitHealthy() throws Exception {
         start();
         within(10_000, () -> health() == 200);
     }
 
-    /** As {@link #serve}, without the wait. */
+    /** As {@link #startAndAwaitHealthy}, without the wait. */
     void start() throws Exception {
         start(configuration().encode());
     }
@@ -101,15 +101,15 @@
     Process start(String file, Path config, Path log) throws Exception {
         Files.writeString(config, file);
         List<String> command = new ArrayList<>();
-        if (descriptorsBounded) {
+        if (limitDescriptors) {
             command.addAll(List.of("sh", "-c", "ulimit -n " + sockets + " && exec \"$@\"", "sh"));
         }
         command.addAll(launcher);
         command.addAll(ProgramFiles.serveCommand());
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(output == null ? ProcessBuilder.Redirect.to(log.toFile()) : output);
-        if (verbose) {
+                .redirectOutput(logOutput == null ? ProcessBuilder.Redirect.to(log.toFile()) : logOutput);
+        if (logClassLoading) {
             builder.environment().put("JAVA_TOOL_OPTIONS", "-Xlog:class+load");
         }
         builder.environment().put("LB_CONFIG", config.toString());
@@ -120,10 +120,10 @@
     /** A new configuration file: it listens on a port of its own. */
     JsonObject configuration() throws IOException {
         port = ReservedPorts.next();
-        if (known == null) {
-            known = new JsonArray();
+        if (initialEndpoints == null) {
+            initialEndpoints = new JsonArray();
             for (int i = 0; i < endpoints.size(); i++) {
-                known.add(entry(i, "active"));
+                initialEndpoints.add(entry(i, "active"));
             }
         }
         return new JsonObject()
@@ -136,7 +136,7 @@
                         new JsonObject().put("cores", 1.0).put("memory_mb", 192).put("sockets", sockets))
                 .put(
                         "known",
-                        new JsonObject().put("index", 7).put("snapshot", true).put("endpoints", known))
+                        new JsonObject().put("index", 7).put("snapshot", true).put("endpoints", initialEndpoints))
                 .put("settings", settings());
     }
 
@@ -155,7 +155,7 @@
     }
 
     /** Goals and limits of 40 s: nothing is rolled back or over because the machine is slow. */
-    void patient() {
+    void useLongTimeouts() {
         settings()
                 .put(
                         "profiles",
@@ -179,7 +179,7 @@
     }
 
     /** A line of the list: all of it, or a change. */
-    static String list(int version, boolean whole, JsonObject... entries) {
+    static String listLine(int version, boolean whole, JsonObject... entries) {
         return new JsonObject()
                 .put("index", version)
                 .put("snapshot", whole)
@@ -191,14 +191,14 @@
     StubEndpoint endpoint(Function<String, String> answers) {
         StubEndpoint stub = new StubEndpoint(answers);
         endpoints.add(stub);
-        opened.add(stub);
+        closeables.add(stub);
         return stub;
     }
 
     /** A new connection of a client. */
     TestClient client() throws IOException {
         TestClient client = new TestClient(port);
-        opened.add(client);
+        closeables.add(client);
         return client;
     }
 
@@ -210,7 +210,7 @@
     static int health(int port) {
         try (TestClient client = new TestClient(port)) {
             return Integer.parseInt(
-                    client.ask("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").substring(9, 12));
+                    client.exchange("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").substring(9, 12));
         } catch (IOException e) {
             return 0;
         }
@@ -219,7 +219,7 @@
     /** What the program has counted; empty if there was no answer. */
     JsonObject counters() {
         try (TestClient client = new TestClient(port)) {
-            String got = client.ask("GET /_counters HTTP/1.1\r\nHost: h\r\n\r\n");
+            String got = client.exchange("GET /_counters HTTP/1.1\r\nHost: h\r\n\r\n");
             return new JsonObject(got.substring(got.indexOf("\r\n\r\n")));
         } catch (IOException e) {
             return new JsonObject();
@@ -227,13 +227,13 @@
     }
 
     /** Fails unless the process ends in time; returns true, for the sake of assertions. */
-    boolean endsWithin(long milliseconds) {
+    boolean exitsWithin(long milliseconds) {
         within(milliseconds, () -> !process.isAlive());
         return true;
     }
 
     /** Threads stop one by one after the signal: what is written before the last has may still be read. */
-    boolean stopped() {
+    boolean allThreadsStopped() {
         try (Stream<Path> tasks = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             return tasks.allMatch(task -> state(task) == 'T');
         } catch (IOException e) {
--- a/sidecar/src/test/java/trestlegrade/integration/SigtermIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SigtermIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -20,24 +20,24 @@
     void allThatWasTakenAndStillComesIsAnswered() throws Exception {
         StubEndpoint slow = endpoint(r -> {
             pause(r.contains("/post-charge") ? 1_000 : 10);
-            return r.contains("silent") ? HANG : answer(200, "", "good");
+            return r.contains("silent") ? HANG : response(200, "", "good");
         });
-        serve();
+        startAndAwaitHealthy();
         TestClient busy = client();
         TestClient idle = client();
-        idle.ask(transaction("quote", "t0", 500));
+        idle.exchange(transaction("quote", "t0", 500));
         busy.write(transaction("post-charge", "t1", 2_000));
-        eventually(() -> slow.saw("t1"));
+        eventually(() -> slow.received("t1"));
         long start = System.nanoTime();
         Stopwatch watch = new Stopwatch();
         process.destroy();
         pause(300);
-        assertTrue(idle.ask(transaction("quote", "t2", 500)).startsWith("HTTP/1.1 200 "));
-        assertTrue(client().ask(transaction("quote", "t3", 500)).startsWith("HTTP/1.1 200 "));
+        assertTrue(idle.exchange(transaction("quote", "t2", 500)).startsWith("HTTP/1.1 200 "));
+        assertTrue(client().exchange(transaction("quote", "t3", 500)).startsWith("HTTP/1.1 200 "));
         assertEquals(503, health());
         assertTrue(busy.read().startsWith("HTTP/1.1 200 "));
         pause(2_350 - (System.nanoTime() - start) / 1_000_000);
-        assertTrue(idle.ask(transaction("quote", "t4", 500)).startsWith("HTTP/1.1 200 "));
+        assertTrue(idle.exchange(transaction("quote", "t4", 500)).startsWith("HTTP/1.1 200 "));
         busy.write(transaction("post-charge", "silent", 3_000));
         String last = busy.read();
         assertTrue(
@@ -45,7 +45,7 @@
                         && last.toLowerCase(Locale.ROOT).contains("connection: close"),
                 last);
         assertEquals("", idle.read());
-        assertTrue(endsWithin(2_000));
+        assertTrue(exitsWithin(2_000));
         assertTrue(watch.milliseconds() < 3_700, "ends before it is killed");
         assertEquals(0, process.exitValue());
         String log = Files.readString(dir.resolve("log"));
@@ -63,16 +63,16 @@
                                 .getJsonArray("profiles")
                                 .encode()
                                 .replaceAll("\"hard_limit\":(1500|3000)", "\"hard_limit\":9000")));
-        serve();
+        startAndAwaitHealthy();
         TestClient[] clients = {client(), client()};
         clients[0].write(transaction("post-charge", "t0", 9_000));
         clients[1].write(transaction("quote", "t1", 9_000));
-        eventually(() -> mute.saw("t0") && mute.saw("t1"));
+        eventually(() -> mute.received("t0") && mute.received("t1"));
         Stopwatch watch = new Stopwatch();
         process.destroy();
         assertTrue(clients[0].read().startsWith("HTTP/1.1 502 "));
         assertTrue(clients[1].read().startsWith("HTTP/1.1 503 "));
-        assertTrue(endsWithin(2_000));
+        assertTrue(exitsWithin(2_000));
         assertTrue(watch.milliseconds() < 3_700, "ends before it is killed");
         assertEquals(0, process.exitValue());
     }
@@ -80,15 +80,15 @@
     /** The program waits for the connections of its clients, and not for longer. */
     @Test
     void endsAsSoonAsItsClientsHave() throws Exception {
-        endpoint(r -> answer(200, "", "good"));
-        serve();
+        endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         TestClient client = client();
-        client.ask(transaction("quote", "t", 500));
+        client.exchange(transaction("quote", "t", 500));
         process.destroy();
         pause(800);
         assertTrue(process.isAlive());
         client.close();
-        assertTrue(endsWithin(500));
+        assertTrue(exitsWithin(500));
         assertEquals(0, process.exitValue());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/SlowClientsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SlowClientsIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 
 import org.junit.jupiter.params.ParameterizedTest;
@@ -31,14 +31,14 @@
     void unfinishedRequestsAreEndedInTime(String sent, String status) throws Exception {
         StubEndpoint endpoint = endpoint(r -> {
             pause(r.contains("/post-charge") ? 2_100 : 0);
-            return answer(200, "", "good");
+            return response(200, "", "good");
         });
-        serve();
+        startAndAwaitHealthy();
         TestClient usual = client();
         usual.write(transaction("post-charge", "t", 3_000));
         TestClient bad = client();
         if (sent.equals("AGAIN")) {
-            assertTrue(bad.ask(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
+            assertTrue(bad.exchange(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
         } else {
             bad.write(sent.replace("\\r", "\r").replace("\\n", "\n"));
         }
@@ -51,6 +51,6 @@
         long took = (System.nanoTime() - start) / 1_000_000;
         assertTrue(took < 2_800, "after " + took + " ms");
         assertTrue(usual.read().startsWith("HTTP/1.1 200 "));
-        assertEquals(sent.equals("AGAIN") ? 2 : 1, endpoint.seen.size());
+        assertEquals(sent.equals("AGAIN") ? 2 : 1, endpoint.requests.size());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/StaleEndpointListIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StaleEndpointListIT.java
@@ -5,7 +5,7 @@
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
 import static trestlegrade.integration.Await.within;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -48,7 +48,7 @@
 
     private String reach(boolean drains) {
         reached.add(millis());
-        return drains ? answer(503, "X-Never-Ran: 1\r\n", "") : answer(200, "", "good");
+        return drains ? response(503, "X-Never-Ran: 1\r\n", "") : response(200, "", "good");
     }
 
     private void drain() {
@@ -62,13 +62,13 @@
 
     private static String refuseInTurn(String request) {
         pause(TURN_MS);
-        return answer(503, "", "");
+        return response(503, "", "");
     }
 
     @BeforeEach
     void terms() {
-        discovery.beats = false;
-        patient();
+        discovery.heartbeats = false;
+        useLongTimeouts();
         settings().getJsonObject("safety").put("drain_grace", GRACE_MS);
     }
 
@@ -80,7 +80,7 @@
                 try (TestClient client = new TestClient(port)) {
                     for (boolean open = true; sending && open; pause(20)) {
                         long asked = millis();
-                        String got = client.ask(transaction("quote", "t" + ++id, 30_000));
+                        String got = client.exchange(transaction("quote", "t" + ++id, 30_000));
                         open = !got.isEmpty();
                         if (got.startsWith("HTTP/1.1 503 ")) {
                             refusedAfter.add(millis() - asked);
@@ -93,7 +93,7 @@
         });
         thread.setDaemon(true);
         thread.start();
-        opened.add(() -> sending = false);
+        closeables.add(() -> sending = false);
     }
 
     /**
@@ -123,15 +123,15 @@
 
     /** It serves again once discovery does, and not by the server that drained meanwhile. */
     private void servesAgain(StubDiscovery list) throws Exception {
-        list.answers = r -> HANG;
-        int before = list.seen.size();
-        eventually(() -> list.seen.size() > before);
-        int drained = first.seen.size();
+        list.responder = r -> HANG;
+        int before = list.requests.size();
+        eventually(() -> list.requests.size() > before);
+        int drained = first.requests.size();
         secondDrains = false;
-        list.write(list.connections.get() - 1, list(20, false, entry(0, "leaving")) + "\n");
+        list.write(list.connectionCount.get() - 1, listLine(20, false, entry(0, "leaving")) + "\n");
         int after = reached.size();
         eventually(() -> reached.size() > after);
-        assertEquals(drained, first.seen.size());
+        assertEquals(drained, first.requests.size());
     }
 
     /** A new process that never had a word, a watch that ended, and one that is open and silent. */
@@ -139,18 +139,18 @@
     @ValueSource(strings = {"new", "ended", "silent"})
     void discoveryTurnsEveryCallAway(String watch) throws Exception {
         if (watch.equals("new")) {
-            discovery.answers = StaleEndpointListIT::refuseInTurn;
+            discovery.responder = StaleEndpointListIT::refuseInTurn;
         }
         long started = millis();
-        serve();
+        startAndAwaitHealthy();
         long last = started;
         if (!watch.equals("new")) {
-            discovery.line(list(8, false));
+            discovery.writeLine(listLine(8, false));
             last = millis();
-            discovery.answers = StaleEndpointListIT::refuseInTurn;
+            discovery.responder = StaleEndpointListIT::refuseInTurn;
         }
         if (watch.equals("ended")) {
-            discovery.end(0, false);
+            discovery.closeConnection(0, false);
         }
         send();
         // Well before the list is too old to be relied on.
@@ -163,25 +163,25 @@
     /** One drains unheard of, and the other goes on being sent to for as long as it serves. */
     @Test
     void whatServesIsSentToWithoutDiscovery() throws Exception {
-        discovery.answers = StaleEndpointListIT::refuseInTurn;
+        discovery.responder = StaleEndpointListIT::refuseInTurn;
         long started = millis();
-        serve();
+        startAndAwaitHealthy();
         send();
         pause(1_000);
         firstDrains = true;
         pause(started + TOLD_MS + GRACE_MS - millis());
-        int drained = first.seen.size();
-        int served = second.seen.size();
+        int drained = first.requests.size();
+        int served = second.requests.size();
         pause(8_000);
-        assertEquals(drained, first.seen.size());
-        assertTrue(second.seen.size() > served + 100, second.seen.size() - served + " served");
+        assertEquals(drained, first.requests.size());
+        assertTrue(second.requests.size() > served + 100, second.requests.size() - served + " served");
     }
 
     /** Nothing can be told while discovery is down, so all go on; its return begins the count. */
     @Test
     void discoveryIsDownAndReturnsCrowded() throws Exception {
-        serve();
-        discovery.line(list(8, false));
+        startAndAwaitHealthy();
+        discovery.writeLine(listLine(8, false));
         int place = discovery.port();
         discovery.close();
         send();
@@ -191,8 +191,8 @@
         assertTrue(reached.size() > before, "served through the outage");
         drain();
         StubDiscovery back = new StubDiscovery(StaleEndpointListIT::refuseInTurn, place);
-        back.beats = false;
-        opened.add(back);
+        back.heartbeats = false;
+        closeables.add(back);
         stopsBy(millis() + TOLD_MS + GRACE_MS);
         servesAgain(back);
     }
@@ -200,11 +200,11 @@
     /** What discovery has at another place counts as told 4 s after the signal. */
     @Test
     void discoveryMovedToAPlaceThatTurnsEveryCallAway() throws Exception {
-        serve();
-        discovery.line(list(8, false));
+        startAndAwaitHealthy();
+        discovery.writeLine(listLine(8, false));
         StubDiscovery elsewhere = new StubDiscovery(StaleEndpointListIT::refuseInTurn);
-        elsewhere.beats = false;
-        opened.add(elsewhere);
+        elsewhere.heartbeats = false;
+        closeables.add(elsewhere);
         send();
         pause(200);
         drain();
@@ -222,8 +222,8 @@
     /** A watch that says that nothing changes keeps all going for good. */
     @Test
     void aWatchThatIsQuietButAlive() throws Exception {
-        discovery.beats = true;
-        serve();
+        discovery.heartbeats = true;
+        startAndAwaitHealthy();
         send();
         pause(TOLD_MS + GRACE_MS + 2_000);
         int before = reached.size();
--- a/sidecar/src/test/java/trestlegrade/integration/StartupIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StartupIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 
 import java.util.ArrayList;
@@ -19,8 +19,8 @@
     /** The operators' term: nine in ten are ready within 10 s, and each takes transactions from then on. */
     @Test
     void nineInTenThatStartAtOnceAreReadyWithinTenSeconds() throws Exception {
-        endpoint(r -> answer(200, "", "good"));
-        endpoint(r -> answer(200, "", "good"));
+        endpoint(r -> response(200, "", "good"));
+        endpoint(r -> response(200, "", "good"));
         settings().put("n_instances", PROCESSES);
         List<Process> processes = new ArrayList<>();
         List<Integer> ports = new ArrayList<>();
@@ -46,7 +46,7 @@
                 try (TestClient client = new TestClient(ports.get(i))) {
                     assertEquals(
                             "200",
-                            client.ask(transaction("post-charge", "t" + i, 3_000))
+                            client.exchange(transaction("post-charge", "t" + i, 3_000))
                                     .substring(9, 12));
                 }
             }
--- a/sidecar/src/test/java/trestlegrade/integration/StubDiscovery.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StubDiscovery.java
@@ -16,31 +16,31 @@
     private static final long BEAT_MILLIS = 500;
 
     /** Whether a watch brings an empty line at regular times, as discovery's do while nothing changes. */
-    volatile boolean beats = true;
+    volatile boolean heartbeats = true;
 
     /** Watches whose response head has been written. */
     private final Set<Socket> begun = new HashSet<>();
 
-    StubDiscovery(Function<String, String> answers) {
-        this(answers, 0);
+    StubDiscovery(Function<String, String> responder) {
+        this(responder, 0);
     }
 
     /** At the port of one that has been closed. */
-    StubDiscovery(Function<String, String> answers, int port) {
-        super(answers, port);
+    StubDiscovery(Function<String, String> responder, int port) {
+        super(responder, port);
     }
 
     @Override
-    boolean reply(Socket socket, String request, String answer) throws IOException {
-        if (HANG.equals(answer) && request.startsWith("GET /catalog/members?")) {
+    boolean reply(Socket socket, String request, String response) throws IOException {
+        if (HANG.equals(response) && request.startsWith("GET /catalog/members?")) {
             inBackground(() -> beat(socket));
         }
-        write(socket, answer);
-        return !answer.endsWith("half") && !answer.contains("Connection: close");
+        write(socket, response);
+        return !response.endsWith("half") && !response.contains("Connection: close");
     }
 
     /** One line to the latest watch. */
-    void line(String text) throws IOException {
+    void writeLine(String text) throws IOException {
         write(latest(), text + "\n");
     }
 
@@ -54,7 +54,7 @@
 
     private void beat(Socket watch) throws IOException {
         while (true) {
-            if (beats) {
+            if (heartbeats) {
                 write(indexOf(watch), "\n");
             }
             pause(BEAT_MILLIS);
--- a/sidecar/src/test/java/trestlegrade/integration/StubEndpoint.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StubEndpoint.java
@@ -15,38 +15,38 @@
      * By trace id: nanoseconds from before its answer was written until its stray one had been, so it came no later
      * behind the answer than that; the largest value while it is being written.
      */
-    final Map<String, Long> strayed = new ConcurrentHashMap<>();
+    final Map<String, Long> duplicateDelayNanos = new ConcurrentHashMap<>();
 
     /** Sent right behind each answer in a write of its own, or the end of the connection. */
-    volatile String afterwards = HANG;
+    volatile String trailingData = HANG;
 
     /** Milliseconds behind each answer after which it is sent once more; 0 for never. */
-    volatile int straysAfter;
+    volatile int duplicateAfterMillis;
 
-    StubEndpoint(Function<String, String> answers) {
-        super(answers, 0);
+    StubEndpoint(Function<String, String> responder) {
+        super(responder, 0);
     }
 
     @Override
-    boolean reply(Socket socket, String request, String answer) throws IOException {
+    boolean reply(Socket socket, String request, String response) throws IOException {
         long answered = System.nanoTime();
-        write(socket, answer);
-        if (afterwards != null) {
-            write(socket, afterwards);
+        write(socket, response);
+        if (trailingData != null) {
+            write(socket, trailingData);
         }
-        if (straysAfter > 0) {
+        if (duplicateAfterMillis > 0) {
             String trace = header(request, "X-Trace-Id");
             inBackground(() -> {
-                pause(straysAfter);
+                pause(duplicateAfterMillis);
                 // On a machine that is late itself it would come at any time.
-                if (System.nanoTime() - answered > 2_000_000L * straysAfter) {
+                if (System.nanoTime() - answered > 2_000_000L * duplicateAfterMillis) {
                     return;
                 }
-                strayed.put(trace, Long.MAX_VALUE);
-                write(socket, answer);
-                strayed.put(trace, System.nanoTime() - answered);
+                duplicateDelayNanos.put(trace, Long.MAX_VALUE);
+                write(socket, response);
+                duplicateDelayNanos.put(trace, System.nanoTime() - answered);
             });
         }
-        return afterwards != null && !answer.endsWith("half") && !answer.contains("Connection: close");
+        return trailingData != null && !response.endsWith("half") && !response.contains("Connection: close");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/StubServer.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StubServer.java
@@ -41,15 +41,15 @@
     private static final ExecutorService BACKGROUND = readyThreads();
 
     /** All requests so far, whole, as text. */
-    final List<String> seen = new CopyOnWriteArrayList<>();
+    final List<String> requests = new CopyOnWriteArrayList<>();
 
     /** Connections that have ended, from either side. */
-    final List<Socket> ended = new CopyOnWriteArrayList<>();
+    final List<Socket> closedConnections = new CopyOnWriteArrayList<>();
 
-    final AtomicInteger connections = new AtomicInteger();
+    final AtomicInteger connectionCount = new AtomicInteger();
 
     /** From a request to its answer, {@link #HANG} or {@link #CLOSE}; runs on the connection's own thread. */
-    volatile Function<String, String> answers;
+    volatile Function<String, String> responder;
 
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final ServerSocket listener;
@@ -60,8 +60,8 @@
     }
 
     /** At this port, or one that the system chooses for 0. */
-    StubServer(Function<String, String> answers, int port) {
-        this.answers = answers;
+    StubServer(Function<String, String> responder, int port) {
+        this.responder = responder;
         try {
             listener = new ServerSocket(port, BACKLOG, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
@@ -70,7 +70,7 @@
         inBackground(() -> {
             while (true) {
                 Socket socket = listener.accept();
-                connections.incrementAndGet();
+                connectionCount.incrementAndGet();
                 sockets.add(socket);
                 inBackground(() -> converse(socket));
             }
@@ -81,22 +81,22 @@
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
             for (String got = HttpText.message(in); !got.isEmpty(); got = HttpText.message(in)) {
-                seen.add(got);
-                String answer = answers.apply(got);
-                if (answer == null) {
+                requests.add(got);
+                String response = responder.apply(got);
+                if (response == null) {
                     return;
                 }
-                if (!reply(socket, got, answer)) {
+                if (!reply(socket, got, response)) {
                     return;
                 }
             }
         } finally {
-            ended.add(socket);
+            closedConnections.add(socket);
         }
     }
 
     /** Writes the answer, which may be {@link #HANG}; returns whether the connection goes on. */
-    abstract boolean reply(Socket socket, String request, String answer) throws IOException;
+    abstract boolean reply(Socket socket, String request, String response) throws IOException;
 
     static void write(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -117,8 +117,8 @@
     }
 
     /** Whether a request with this trace id has come. */
-    boolean saw(String trace) {
-        return seen.stream().anyMatch(s -> trace.equals(header(s, "X-Trace-Id")));
+    boolean received(String trace) {
+        return requests.stream().anyMatch(s -> trace.equals(header(s, "X-Trace-Id")));
     }
 
     /** Bytes as they are, on the connection that came last. */
@@ -132,13 +132,13 @@
     }
 
     /** Ends a connection, at once with all that is on its way or with a reset behind it. */
-    void end(int connection, boolean reset) throws IOException {
+    void closeConnection(int connection, boolean reset) throws IOException {
         socket(connection).setSoLinger(reset, 0);
         socket(connection).close();
     }
 
     /** Ends all connections; the server still listens. */
-    void dropAll() throws IOException {
+    void closeAllConnections() throws IOException {
         for (Socket each : sockets) {
             each.close();
         }
@@ -151,7 +151,7 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        dropAll();
+        closeAllConnections();
     }
 
     static void inBackground(Work work) {
--- a/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
@@ -5,8 +5,8 @@
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
 import static trestlegrade.integration.Await.within;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -24,14 +24,14 @@
 
 /** The system calls of the process fail as their manual pages say: each request has its answer in time all the same. */
 class SystemCallsIT extends SidecarFixture {
-    private final StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
+    private final StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
     private SystemCallShim shim;
 
     @BeforeEach
     void preload() throws Exception {
         shim = new SystemCallShim(SystemCallShim.compile(dir), dir.resolve("shim-control"), 20261202);
         environment.putAll(shim.environment());
-        serve();
+        startAndAwaitHealthy();
     }
 
     /** Clients whose connections wait in the listener's queue meanwhile are let in as soon as that is possible. */
@@ -74,12 +74,12 @@
         shim.fail(number, rate, errno, SystemCallShim.ALL);
         for (String profile : List.of("quote", "post-charge")) {
             Stopwatch watch = new Stopwatch();
-            assertTrue(client.ask(transaction(profile, profile + errno, 1_400)).startsWith("HTTP/1.1 503 "));
+            assertTrue(client.exchange(transaction(profile, profile + errno, 1_400)).startsWith("HTTP/1.1 503 "));
             assertTrue(watch.milliseconds() < 700, "refused after " + watch.milliseconds() + " ms");
         }
         assertTrue(shim.get(done) > 0);
         shim.set(rate, 0);
-        eventually(() -> client.tries(transaction("quote", "u" + System.nanoTime(), 1_400))
+        eventually(() -> client.exchangeUnchecked(transaction("quote", "u" + System.nanoTime(), 1_400))
                 .startsWith("HTTP/1.1 200 "));
         assertEquals(1, counters().getJsonObject("now").getLong("pooled"));
     }
@@ -102,14 +102,14 @@
         shim.set(Field.INTERRUPT_RATE, SystemCallShim.ALL / 4);
         TestClient client = client();
         for (int i = 0; i < 10; i++) {
-            String got = client.ask(transaction(i % 2 == 0 ? "quote" : "post-charge", "t" + i, 1_400));
+            String got = client.exchange(transaction(i % 2 == 0 ? "quote" : "post-charge", "t" + i, 1_400));
             assertTrue(
                     got.startsWith("HTTP/1.1 200 ") && got.endsWith("good"),
                     got + counters().encode());
         }
         assertEquals(
                 10,
-                endpoint.seen.stream().filter(r -> r.contains("X-Trace-Id: t")).count());
+                endpoint.requests.stream().filter(r -> r.contains("X-Trace-Id: t")).count());
         assertTrue(shim.get(Field.INTERRUPT_DONE) > 100 && shim.get(Field.SHORT_DONE) > 1_000);
     }
 
@@ -118,13 +118,13 @@
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH"})
     void openConnectionsBreak(Errno errno) throws Exception {
         Gate gate = new Gate();
-        endpoint.answers = r -> {
-            gate.pass();
-            return answer(200, "", "good");
+        endpoint.responder = r -> {
+            gate.awaitOpen();
+            return response(200, "", "good");
         };
         TestClient client = client();
         client.write(transaction("post-charge", "t", 2_900));
-        eventually(() -> endpoint.saw("t"));
+        eventually(() -> endpoint.received("t"));
         eventually(() -> counters().getLong("attempts_sent") == 1);
         pause(100);
         shim.fail(Field.TRANSFER_ERRNO, Field.TRANSFER_RATE, errno, SystemCallShim.NEXT);
@@ -133,12 +133,13 @@
         assertTrue(got.startsWith("HTTP/1.1 502 "), got);
         assertEquals(
                 1,
-                endpoint.seen.stream()
+                endpoint.requests.stream()
                         .filter(r -> "t".equals(header(r, "X-Trace-Id")))
                         .count());
         TestClient next = client();
         eventually(() ->
-                next.tries(transaction("quote", "u" + System.nanoTime(), 1_400)).startsWith("HTTP/1.1 200 "));
+                next.exchangeUnchecked(transaction("quote", "u" + System.nanoTime(), 1_400))
+                        .startsWith("HTTP/1.1 200 "));
         eventually(() -> counters().getJsonObject("now").getLong("transactions") == 0);
     }
 
@@ -149,16 +150,16 @@
         shim.set(Field.HOLD_RATE, SystemCallShim.ALL);
         TestClient client = client();
         long[] seenAt = {0};
-        endpoint.answers = r -> {
+        endpoint.responder = r -> {
             seenAt[0] = System.nanoTime();
-            return answer(200, "", "good");
+            return response(200, "", "good");
         };
         for (int i = 0; i < 5; i++) {
             String trace = "t" + i;
             long asked = System.nanoTime();
-            String got = client.ask(transaction("quote", trace, 1_400));
+            String got = client.exchange(transaction("quote", trace, 1_400));
             assertTrue(got.startsWith("HTTP/1.1 "), got);
-            String request = endpoint.seen.get(endpoint.seen.size() - 1);
+            String request = endpoint.requests.get(endpoint.requests.size() - 1);
             assertEquals(trace, header(request, "X-Trace-Id"));
             long told = HeaderRules.timeoutTicks(header(request, "X-Expires-In")) / 10;
             long left = 1_400 - (seenAt[0] - asked) / 1_000_000;
@@ -171,25 +172,25 @@
     @ValueSource(longs = {-3_600, -5, 5, 3_600})
     void theWallClockSteps(long seconds) throws Exception {
         TestClient client = client();
-        endpoint.answers = r -> HANG;
+        endpoint.responder = r -> HANG;
         client.write(transaction("quote", "t", 1_400));
-        eventually(() -> endpoint.saw("t"));
+        eventually(() -> endpoint.received("t"));
         Stopwatch watch = new Stopwatch();
         shim.set(Field.WALL_CLOCK_MICROSECONDS, seconds * 1_000_000);
         assertTrue(client.read().startsWith("HTTP/1.1 503 "));
         assertTrue(watch.milliseconds() > 500 && watch.milliseconds() < 1_450, "after " + watch.milliseconds() + " ms");
-        endpoint.answers = r -> answer(200, "", "good");
-        eventually(() -> client.tries(transaction("quote", "u" + System.nanoTime(), 1_400))
+        endpoint.responder = r -> response(200, "", "good");
+        eventually(() -> client.exchangeUnchecked(transaction("quote", "u" + System.nanoTime(), 1_400))
                 .startsWith("HTTP/1.1 200 "));
-        eventually(() -> !discovery.seen.isEmpty());
-        discovery.line(list(8, false, entry(0, "leaving")));
+        eventually(() -> !discovery.requests.isEmpty());
+        discovery.writeLine(listLine(8, false, entry(0, "leaving")));
         eventually(() -> counters().getLong("list_lines") == 1);
-        int before = endpoint.seen.size();
-        assertTrue(client.ask(transaction("quote", "v", 300)).startsWith("HTTP/1.1 503 "));
-        assertEquals(before, endpoint.seen.size());
-        discovery.line(list(9, false, entry(0, "active")));
-        eventually(() -> client.tries(transaction("quote", "w" + System.nanoTime(), 1_400))
+        int before = endpoint.requests.size();
+        assertTrue(client.exchange(transaction("quote", "v", 300)).startsWith("HTTP/1.1 503 "));
+        assertEquals(before, endpoint.requests.size());
+        discovery.writeLine(listLine(9, false, entry(0, "active")));
+        eventually(() -> client.exchangeUnchecked(transaction("quote", "w" + System.nanoTime(), 1_400))
                 .startsWith("HTTP/1.1 200 "));
-        assertEquals(1, discovery.seen.size(), "the watch was opened anew");
+        assertEquals(1, discovery.requests.size(), "the watch was opened anew");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/TestClient.java
+++ b/sidecar/src/test/java/trestlegrade/integration/TestClient.java
@@ -19,15 +19,15 @@
     }
 
     /** Writes a request and reads one answer. */
-    String ask(String text) throws IOException {
+    String exchange(String text) throws IOException {
         write(text);
         return read();
     }
 
-    /** As {@link #ask}, for lambdas. */
-    String tries(String text) {
+    /** As {@link #exchange}, for lambdas. */
+    String exchangeUnchecked(String text) {
         try {
-            return ask(text);
+            return exchange(text);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -44,7 +44,7 @@
     }
 
     /** Closes, or resets what is still on its way. */
-    void leave(boolean reset) throws IOException {
+    void disconnect(boolean reset) throws IOException {
         if (reset) {
             socket.setSoLinger(true, 0);
         }
