--- a/sidecar/src/test/java/trestlegrade/integration/Await.java
+++ b/sidecar/src/test/java/trestlegrade/integration/Await.java
@@ -4,28 +4,28 @@
 
 import java.util.function.BooleanSupplier;
 
-/** Waits for something that another thread or process does. */
+/** Waits for conditions that other threads or processes fulfil. */
 public final class Await {
     private static final long EVENTUALLY_MILLIS = 20_000;
     private static final long POLL_MILLIS = 10;
 
     private Await() {}
 
-    /** Waits for up to 20 s, where how soon is not the point: a machine busy with other work takes what it takes. */
+    /** Waits for up to 20 s. For conditions without a time limit of their own, because a busy machine may be slow. */
     public static void eventually(BooleanSupplier condition) {
         within(EVENTUALLY_MILLIS, condition);
     }
 
-    /** Waits until the condition holds, and fails after so many milliseconds in which the machine did run. */
+    /** Waits until the condition holds. Stalls of the machine do not count towards the timeout. */
     public static void within(long milliseconds, BooleanSupplier condition) {
         Stopwatch watch = new Stopwatch();
         while (!condition.getAsBoolean()) {
-            assertTrue(watch.milliseconds() < milliseconds, "not within " + milliseconds + " ms");
+            assertTrue(watch.milliseconds() < milliseconds, "condition not met within " + milliseconds + " ms");
             pause(POLL_MILLIS);
         }
     }
 
-    /** Sleeps; an interrupt ends the sleep and stays set. */
+    /** Sleeps. An interrupt ends the sleep, and the interrupt flag stays set. */
     public static void pause(long milliseconds) {
         try {
             Thread.sleep(milliseconds);
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointListFixture.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointListFixture.java
@@ -12,25 +12,25 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.BeforeEach;
 
-/** Two endpoints, and a watch of the list that brings what the test says, when it says so. */
+/** Two endpoints, and a watch of the endpoint list on which only the test sends lines. */
 abstract class EndpointListFixture extends SidecarFixture {
-    /** The two endpoints, both listed. */
+    /** Both are in the initial list. */
     final StubEndpoint[] stubs = {endpoint(r -> response(200, "", "good")), endpoint(r -> response(200, "", "good"))};
 
-    /** What a watch brings, and when, is each test's own. */
+    /** Each test decides itself what a watch sends, and when. */
     @BeforeEach
     void disableHeartbeats() {
         discovery.heartbeats = false;
     }
 
-    /** Serves by the first endpoint and the second, both listed, with one watch open. */
+    /** Starts the program and waits until it is healthy, with both endpoints listed and one watch open. */
     void startWatched() throws Exception {
         useLongTimeouts();
         start();
         eventually(() -> discovery.requests.size() == 1);
         within(10_000, () -> {
             try {
-                // However long the start takes, the watch is not quiet meanwhile.
+                // Empty lines keep the watch from counting as silent, however long the start takes.
                 discovery.write(0, "\n");
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -39,7 +39,7 @@
         });
     }
 
-    /** How many of twenty went to each. */
+    /** Sends twenty transactions and returns how many each endpoint received. */
     int[] requestsPerEndpoint(String trace) throws Exception {
         int[] before = {stubs[0].requests.size(), stubs[1].requests.size()};
         TestClient client = client();
@@ -51,16 +51,17 @@
     }
 
     /**
-     * As above, while others hold what clients may: an answer may end its connection, and who finds no room is told so
-     * (503) and comes again. All twenty are committed in the end.
+     * Like {@link #requestsPerEndpoint}, while other clients hold all descriptors available for client connections. A
+     * response may close its connection, and a request that finds no descriptor is rejected with a 503 and retried. All
+     * twenty are committed in the end.
      */
     int[] requestsPerEndpointUnderConnectionFlood(String trace) {
         int[] before = {stubs[0].requests.size(), stubs[1].requests.size()};
-        AtomicInteger tries = new AtomicInteger();
+        AtomicInteger attempts = new AtomicInteger();
         for (int i = 0; i < 20; i++) {
             eventually(() -> {
                 try (TestClient client = new TestClient(port)) {
-                    String got = client.exchange(transaction("quote", trace + tries.incrementAndGet(), 9_000));
+                    String got = client.exchange(transaction("quote", trace + attempts.incrementAndGet(), 9_000));
                     assertTrue(got.startsWith("HTTP/1.1 200 ") || got.startsWith("HTTP/1.1 503 "), got);
                     return got.startsWith("HTTP/1.1 200 ");
                 } catch (IOException e) {
@@ -68,11 +69,12 @@
                 }
             });
         }
-        int[] went = {stubs[0].requests.size() - before[0], stubs[1].requests.size() - before[1]};
-        assertEquals(20, went[0] + went[1]);
-        return went;
+        int[] counts = {stubs[0].requests.size() - before[0], stubs[1].requests.size() - before[1]};
+        assertEquals(20, counts[0] + counts[1]);
+        return counts;
     }
 
+    /** Waits until the sidecar has applied this number of list lines. */
     void awaitListLines(long lines) {
         eventually(() -> counters().getLong("list_lines", 0L) == lines);
     }
--- a/sidecar/src/test/java/trestlegrade/integration/Gate.java
+++ b/sidecar/src/test/java/trestlegrade/integration/Gate.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Holds back whoever comes to it until it is opened. */
+/** A latch: {@link #awaitOpen} blocks its callers until {@link #open} is called. */
 final class Gate {
     private final CountDownLatch open = new CountDownLatch(1);
 
--- a/sidecar/src/test/java/trestlegrade/integration/HttpText.java
+++ b/sidecar/src/test/java/trestlegrade/integration/HttpText.java
@@ -5,23 +5,23 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** HTTP messages as text of one byte a character, so that a test can write whatever bytes it wants. */
+/** HTTP messages as text with one byte per character (ISO 8859-1), so that tests can write arbitrary bytes. */
 final class HttpText {
     private HttpText() {}
 
-    /** A transaction of a profile: {@code quote} may be repeated, any other may not and has a body. */
-    static String transaction(String profile, String trace, int waitMillis) {
+    /** Request of a profile: {@code quote} is a repeatable GET, any other profile is a POST with a body. */
+    static String transaction(String profile, String trace, int timeoutMillis) {
         return (profile.equals("quote") ? "GET" : "POST") + " /" + profile + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: "
-                + trace + "\r\nX-Qos: " + profile + "\r\nX-Expires-In: " + waitMillis + "m\r\n"
+                + trace + "\r\nX-Qos: " + profile + "\r\nX-Expires-In: " + timeoutMillis + "m\r\n"
                 + (profile.equals("quote") ? "\r\n" : "Content-Length: 2\r\n\r\nok");
     }
 
-    /** A response with a Content-Length; the headers end with a line break each. */
+    /** Response with a Content-Length. Each of the headers has to end with CR LF. */
     static String response(int status, String headers, String body) {
         return "HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** The value of a header, or null if the message has none of this name. */
+    /** Returns the value of a header, or null if the message does not have it. */
     static String header(String message, String name) {
         for (String line : message.substring(0, message.indexOf("\r\n\r\n")).split("\r\n")) {
             if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
@@ -31,7 +31,7 @@
         return null;
     }
 
-    /** Reads one message with its body by its Content-Length; empty at the end of the stream. */
+    /** Reads one message, with a body if it has a Content-Length. Empty at the end of the stream. */
     static String message(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         int c;
--- a/sidecar/src/test/java/trestlegrade/integration/SidecarFixture.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SidecarFixture.java
@@ -25,8 +25,8 @@
 import trestlegrade.lab.ReservedPorts;
 
 /**
- * The built program in a process of its own, and all that it meets over loopback sockets: clients, endpoints and
- * discovery. Tests choose what these send, and when.
+ * Runs the built program in a separate process, with stubs of its clients, endpoints and discovery on loopback sockets.
+ * Tests choose what the stubs send, and when.
  */
 @Timeout(60)
 @Execution(ExecutionMode.CONCURRENT)
@@ -44,28 +44,28 @@
     /** The program under test; null until it is started. */
     Process process;
 
-    /** Where the program listens; chosen as its configuration is made. */
+    /** Port on which the program listens; set by {@link #configuration}. */
     int port;
 
-    /** The entries of the list with which it starts; null for all endpoints of the test. */
+    /** Entries of the endpoint list in the configuration; null for all endpoints of the test. */
     JsonArray initialEndpoints;
 
-    /** Where it writes its log; null for the file in {@link #dir}. */
+    /** Destination of the log; null for the file in {@link #dir}. */
     ProcessBuilder.Redirect logOutput;
 
-    /** The limit on sockets in its configuration. */
+    /** The limit on sockets in the configuration. */
     int sockets = 1024;
 
-    /** Whether the system holds the process to {@link #sockets}, as the operators do. */
+    /** Whether the process runs with {@link #sockets} as its file descriptor limit, as in production. */
     boolean limitDescriptors;
 
-    /** Whether the log names each class that is loaded. */
+    /** Whether the JVM logs each class that it loads. */
     boolean logClassLoading;
 
-    /** Put before the command line of the program; it has to end in that process. */
+    /** Prefix of the command line. It has to replace itself with the program (exec), so that the process id stays. */
     List<String> launcher = List.of();
 
-    /** Further variables of the process. */
+    /** Additional environment variables of the process. */
     final Map<String, String> environment = new HashMap<>();
 
     private JsonObject settings;
@@ -87,19 +87,19 @@
         within(10_000, () -> health() == 200);
     }
 
-    /** As {@link #startAndAwaitHealthy}, without the wait. */
+    /** Starts the program with the configuration of this test. */
     void start() throws Exception {
         start(configuration().encode());
     }
 
-    /** Starts the program with the text of a configuration file. */
-    void start(String file) throws Exception {
-        process = start(file, dir.resolve("config.json"), dir.resolve("log"));
+    /** Starts the program with the given content of the configuration file. */
+    void start(String configText) throws Exception {
+        process = start(configText, dir.resolve("config.json"), dir.resolve("log"));
     }
 
-    /** Starts a process of which the test takes care itself. */
-    Process start(String file, Path config, Path log) throws Exception {
-        Files.writeString(config, file);
+    /** Starts the program in a process that the test has to destroy itself. */
+    Process start(String configText, Path configFile, Path logFile) throws Exception {
+        Files.writeString(configFile, configText);
         List<String> command = new ArrayList<>();
         if (limitDescriptors) {
             command.addAll(List.of("sh", "-c", "ulimit -n " + sockets + " && exec \"$@\"", "sh"));
@@ -108,16 +108,16 @@
         command.addAll(ProgramFiles.serveCommand());
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(logOutput == null ? ProcessBuilder.Redirect.to(log.toFile()) : logOutput);
+                .redirectOutput(logOutput == null ? ProcessBuilder.Redirect.to(logFile.toFile()) : logOutput);
         if (logClassLoading) {
             builder.environment().put("JAVA_TOOL_OPTIONS", "-Xlog:class+load");
         }
-        builder.environment().put("LB_CONFIG", config.toString());
+        builder.environment().put("LB_CONFIG", configFile.toString());
         builder.environment().putAll(environment);
         return builder.start();
     }
 
-    /** A new configuration file: it listens on a port of its own. */
+    /** Creates a configuration with a new port to listen on. */
     JsonObject configuration() throws IOException {
         port = ReservedPorts.next();
         if (initialEndpoints == null) {
@@ -140,7 +140,7 @@
                 .put("settings", settings());
     }
 
-    /** The settings of the configuration, which a test may change before the start. */
+    /** The settings of the configuration, which a test can change before it starts the program. */
     JsonObject settings() {
         if (settings == null) {
             settings = new JsonObject("""
@@ -154,7 +154,7 @@
         return settings;
     }
 
-    /** Goals and limits of 40 s: nothing is rolled back or over because the machine is slow. */
+    /** Sets service goals and hard limits of 40 s, so that a slow machine causes neither rollbacks nor timeouts. */
     void useLongTimeouts() {
         settings()
                 .put(
@@ -165,7 +165,7 @@
                                 .replaceAll("\"(hard_limit|service_goal)\":\\d+", "\"$1\":40000")));
     }
 
-    /** An entry of the list for one of the endpoints. */
+    /** Entry of the endpoint list for one of the endpoints. */
     JsonObject entry(int endpoint, String status) {
         return new JsonObject()
                 .put("name", "s-" + endpoint)
@@ -178,16 +178,16 @@
                 .put("since_ms", 0);
     }
 
-    /** A line of the list: all of it, or a change. */
-    static String listLine(int version, boolean whole, JsonObject... entries) {
+    /** Line of the endpoint list: a snapshot or a change. */
+    static String listLine(int version, boolean snapshot, JsonObject... entries) {
         return new JsonObject()
                 .put("index", version)
-                .put("snapshot", whole)
+                .put("snapshot", snapshot)
                 .put("endpoints", new JsonArray(List.of(entries)))
                 .encode();
     }
 
-    /** A new endpoint, which the list at the start has unless the test says otherwise. */
+    /** Creates an endpoint. The initial list contains it unless the test sets {@link #initialEndpoints}. */
     StubEndpoint endpoint(Function<String, String> answers) {
         StubEndpoint stub = new StubEndpoint(answers);
         endpoints.add(stub);
@@ -195,14 +195,14 @@
         return stub;
     }
 
-    /** A new connection of a client. */
+    /** Opens a client connection. */
     TestClient client() throws IOException {
         TestClient client = new TestClient(port);
         closeables.add(client);
         return client;
     }
 
-    /** The status of a health check; 0 if there was no answer. */
+    /** Returns the status of a health check; 0 if there was no response. */
     int health() {
         return health(port);
     }
@@ -216,7 +216,7 @@
         }
     }
 
-    /** What the program has counted; empty if there was no answer. */
+    /** Returns the counters of the program; empty if there was no response. */
     JsonObject counters() {
         try (TestClient client = new TestClient(port)) {
             String got = client.exchange("GET /_counters HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -226,13 +226,16 @@
         }
     }
 
-    /** Fails unless the process ends in time; returns true, for the sake of assertions. */
+    /** Fails unless the process exits in time. Returns true, so that it can be used in assertions. */
     boolean exitsWithin(long milliseconds) {
         within(milliseconds, () -> !process.isAlive());
         return true;
     }
 
-    /** Threads stop one by one after the signal: what is written before the last has may still be read. */
+    /**
+     * Whether SIGSTOP has stopped every thread. Threads stop one by one, so data that is written before the last one
+     * has stopped may still be read.
+     */
     boolean allThreadsStopped() {
         try (Stream<Path> tasks = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             return tasks.allMatch(task -> state(task) == 'T');
@@ -241,7 +244,7 @@
         }
     }
 
-    /** The state of a thread as in /proc. */
+    /** Returns the state of a thread from /proc. */
     static char state(Path task) {
         try {
             String stat = Files.readString(task.resolve("stat"));
@@ -260,7 +263,7 @@
                         .waitFor());
     }
 
-    /** What the program has logged so far. */
+    /** Returns what the program has logged so far. */
     String log() {
         try {
             return Files.readString(dir.resolve("log"));
--- a/sidecar/src/test/java/trestlegrade/integration/Stopwatch.java
+++ b/sidecar/src/test/java/trestlegrade/integration/Stopwatch.java
@@ -4,33 +4,33 @@
 import trestlegrade.lab.MachineLateness;
 
 /**
- * Measures time without that during which the machine stood still: a thread that only sleeps was late by so much. On a
- * machine that keeps time it measures real time.
+ * Measures elapsed time without stalls of the machine. A stall is the time by which a thread that only sleeps wakes up
+ * late. Without stalls the stopwatch measures real time.
  */
 final class Stopwatch {
-    /** Later than this by the scheduler alone is usual nowhere. */
-    private static final long USUAL = 10_000_000;
+    /** Scheduling alone does not usually delay a thread by more than this. */
+    private static final long MAX_SCHEDULING_DELAY_NANOS = 10_000_000;
 
-    private static final AtomicLong STOOD_STILL = new AtomicLong();
+    private static final AtomicLong STALLED_NANOS = new AtomicLong();
 
     static {
-        Thread ticker = new Thread(Stopwatch::tick, "machine-lateness");
-        ticker.setDaemon(true);
-        ticker.start();
+        Thread monitor = new Thread(Stopwatch::recordStalls, "machine-lateness");
+        monitor.setDaemon(true);
+        monitor.start();
     }
 
-    private final long begun = System.nanoTime();
-    private final long stoodStillBefore = STOOD_STILL.get();
+    private final long startNanos = System.nanoTime();
+    private final long stalledNanosAtStart = STALLED_NANOS.get();
 
-    private static void tick() {
+    private static void recordStalls() {
         try {
-            MachineLateness.watch(USUAL, STOOD_STILL::addAndGet);
+            MachineLateness.watch(MAX_SCHEDULING_DELAY_NANOS, STALLED_NANOS::addAndGet);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     long milliseconds() {
-        return (System.nanoTime() - begun - (STOOD_STILL.get() - stoodStillBefore)) / 1_000_000;
+        return (System.nanoTime() - startNanos - (STALLED_NANOS.get() - stalledNanosAtStart)) / 1_000_000;
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/StubEndpoint.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StubEndpoint.java
@@ -9,18 +9,18 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Function;
 
-/** An endpoint that runs transactions, and may send more than its answers. */
+/** Endpoint that runs transactions and can send more than their responses. */
 final class StubEndpoint extends StubServer {
     /**
-     * By trace id: nanoseconds from before its answer was written until its stray one had been, so it came no later
-     * behind the answer than that; the largest value while it is being written.
+     * By trace id: nanoseconds from before the response was written until its duplicate had been written. This is an
+     * upper bound of the delay between the two. Long.MAX_VALUE while the duplicate is being written.
      */
     final Map<String, Long> duplicateDelayNanos = new ConcurrentHashMap<>();
 
-    /** Sent right behind each answer in a write of its own, or the end of the connection. */
+    /** Written directly after each response in a separate write; {@link #CLOSE} to close the connection instead. */
     volatile String trailingData = HANG;
 
-    /** Milliseconds behind each answer after which it is sent once more; 0 for never. */
+    /** Each response is sent a second time after this delay; 0 for never. */
     volatile int duplicateAfterMillis;
 
     StubEndpoint(Function<String, String> responder) {
@@ -29,22 +29,22 @@
 
     @Override
     boolean reply(Socket socket, String request, String response) throws IOException {
-        long answered = System.nanoTime();
+        long respondedNanos = System.nanoTime();
         write(socket, response);
         if (trailingData != null) {
             write(socket, trailingData);
         }
         if (duplicateAfterMillis > 0) {
             String trace = header(request, "X-Trace-Id");
-            inBackground(() -> {
+            runInBackground(() -> {
                 pause(duplicateAfterMillis);
-                // On a machine that is late itself it would come at any time.
-                if (System.nanoTime() - answered > 2_000_000L * duplicateAfterMillis) {
+                // Skipped if the machine stalled, because the duplicate would then be sent at an arbitrary time.
+                if (System.nanoTime() - respondedNanos > 2_000_000L * duplicateAfterMillis) {
                     return;
                 }
                 duplicateDelayNanos.put(trace, Long.MAX_VALUE);
                 write(socket, response);
-                duplicateDelayNanos.put(trace, System.nanoTime() - answered);
+                duplicateDelayNanos.put(trace, System.nanoTime() - respondedNanos);
             });
         }
         return trailingData != null && !response.endsWith("half") && !response.contains("Connection: close");
--- a/sidecar/src/test/java/trestlegrade/integration/StubServer.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StubServer.java
@@ -19,47 +19,53 @@
 import java.util.function.Function;
 
 /**
- * A server on loopback whose answers the test gives: a whole message, nothing ({@link #HANG}), or the end of the
- * connection ({@link #CLOSE}). Its system may hold back what it writes behind an answer until that is acknowledged (no
- * TCP_NODELAY).
+ * Server on loopback whose responses the test defines: a whole message, nothing ({@link #HANG}), or the end of the
+ * connection ({@link #CLOSE}). TCP_NODELAY is not set, so the kernel may delay data that is written after a response
+ * until the response is acknowledged.
  */
 abstract class StubServer implements AutoCloseable {
-    /** In place of an answer: none, and the connection stays open. */
+    /** In place of a response: none is sent, and the connection stays open. */
     static final String HANG = "";
 
-    /** In place of an answer: the end of the connection. */
+    /** In place of a response: the connection is closed. */
     static final String CLOSE = null;
 
-    /** Enough for the connects of all clients of a test at once. */
+    /** Enough for all clients of a test to connect at once. */
     private static final int BACKLOG = 1_024;
 
-    /** More than the tests that run beside each other use. */
-    private static final int READY_THREADS = 64;
+    /** More than the concurrently running tests use. */
+    private static final int PRESTARTED_THREADS = 64;
 
-    private static final long KEPT_SECONDS = 60;
-    /** On a busy machine the start of a thread takes a hundred milliseconds, which would count as the program's. */
-    private static final ExecutorService BACKGROUND = readyThreads();
+    private static final long KEEP_ALIVE_SECONDS = 60;
 
-    /** All requests so far, whole, as text. */
+    /**
+     * Threads are started in advance, because starting a thread takes 100 ms on a busy machine and tests would measure
+     * that as time of the sidecar.
+     */
+    private static final ExecutorService BACKGROUND = prestartedThreadPool();
+
+    /** All requests received so far, with their bodies. */
     final List<String> requests = new CopyOnWriteArrayList<>();
 
-    /** Connections that have ended, from either side. */
+    /** Connections that were closed by either side. */
     final List<Socket> closedConnections = new CopyOnWriteArrayList<>();
 
     final AtomicInteger connectionCount = new AtomicInteger();
 
-    /** From a request to its answer, {@link #HANG} or {@link #CLOSE}; runs on the connection's own thread. */
+    /**
+     * Maps a request to its response, {@link #HANG} or {@link #CLOSE}. Runs on a separate thread for each connection.
+     */
     volatile Function<String, String> responder;
 
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final ServerSocket listener;
 
-    /** Work on a thread of its own, which ends once a socket that it uses is closed. */
-    interface Work {
+    /** Task with a thread of its own. It ends with the exception that a closed socket causes. */
+    interface IoTask {
         void run() throws IOException;
     }
 
-    /** At this port, or one that the system chooses for 0. */
+    /** Listens on the given port; 0 for a port that the system chooses. */
     StubServer(Function<String, String> responder, int port) {
         this.responder = responder;
         try {
@@ -67,17 +73,17 @@
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
-        inBackground(() -> {
+        runInBackground(() -> {
             while (true) {
                 Socket socket = listener.accept();
                 connectionCount.incrementAndGet();
                 sockets.add(socket);
-                inBackground(() -> converse(socket));
+                runInBackground(() -> handleConnection(socket));
             }
         });
     }
 
-    private void converse(Socket socket) throws IOException {
+    private void handleConnection(Socket socket) throws IOException {
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
             for (String got = HttpText.message(in); !got.isEmpty(); got = HttpText.message(in)) {
@@ -95,14 +101,14 @@
         }
     }
 
-    /** Writes the answer, which may be {@link #HANG}; returns whether the connection goes on. */
+    /** Writes the response, which may be {@link #HANG}. Returns whether the connection stays open. */
     abstract boolean reply(Socket socket, String request, String response) throws IOException;
 
     static void write(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The connection that was opened at this place in the order of all. */
+    /** Returns a connection by its index in the order in which they were opened. */
     Socket socket(int connection) {
         return sockets.get(connection);
     }
@@ -111,33 +117,33 @@
         return sockets.indexOf(socket);
     }
 
-    /** The place of the connection that was opened last. */
-    int latest() {
+    /** Returns the index of the connection that was opened last. */
+    int lastConnection() {
         return sockets.size() - 1;
     }
 
-    /** Whether a request with this trace id has come. */
+    /** Whether a request with this trace id has been received. */
     boolean received(String trace) {
         return requests.stream().anyMatch(s -> trace.equals(header(s, "X-Trace-Id")));
     }
 
-    /** Bytes as they are, on the connection that came last. */
+    /** Sends raw bytes on the connection that was opened last. */
     void send(String text) throws IOException {
-        send(latest(), text);
+        send(lastConnection(), text);
     }
 
-    /** Bytes as they are. */
+    /** Sends raw bytes. */
     void send(int connection, String text) throws IOException {
         write(socket(connection), text);
     }
 
-    /** Ends a connection, at once with all that is on its way or with a reset behind it. */
+    /** Closes a connection, either gracefully or with a reset that discards unsent data. */
     void closeConnection(int connection, boolean reset) throws IOException {
         socket(connection).setSoLinger(reset, 0);
         socket(connection).close();
     }
 
-    /** Ends all connections; the server still listens. */
+    /** Closes all connections. The server keeps listening. */
     void closeAllConnections() throws IOException {
         for (Socket each : sockets) {
             each.close();
@@ -154,20 +160,25 @@
         closeAllConnections();
     }
 
-    static void inBackground(Work work) {
+    static void runInBackground(IoTask task) {
         BACKGROUND.execute(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                // The other side or the test's end closed the socket.
+                // The peer closed the socket, or the test did when it ended.
             }
         });
     }
 
-    private static ExecutorService readyThreads() {
+    private static ExecutorService prestartedThreadPool() {
         ThreadPoolExecutor threads = new ThreadPoolExecutor(
-                READY_THREADS, Integer.MAX_VALUE, KEPT_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), work -> {
-                    Thread thread = new Thread(work, "stub-server");
+                PRESTARTED_THREADS,
+                Integer.MAX_VALUE,
+                KEEP_ALIVE_SECONDS,
+                TimeUnit.SECONDS,
+                new SynchronousQueue<>(),
+                task -> {
+                    Thread thread = new Thread(task, "stub-server");
                     thread.setDaemon(true);
                     return thread;
                 });
--- a/sidecar/src/test/java/trestlegrade/integration/TestClient.java
+++ b/sidecar/src/test/java/trestlegrade/integration/TestClient.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A client's connection to a sidecar. */
+/** Connection of a client to a sidecar. */
 final class TestClient implements AutoCloseable {
     private final Socket socket;
     private final InputStream in;
@@ -18,13 +18,13 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** Writes a request and reads one answer. */
+    /** Writes a request and reads one response. */
     String exchange(String text) throws IOException {
         write(text);
         return read();
     }
 
-    /** As {@link #exchange}, for lambdas. */
+    /** Like {@link #exchange}, for lambdas: wraps the checked exception. */
     String exchangeUnchecked(String text) {
         try {
             return exchange(text);
@@ -33,17 +33,17 @@
         }
     }
 
-    /** Bytes as they are. */
+    /** Writes raw bytes. */
     void write(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The next answer; empty at the end of the connection. */
+    /** Reads the next response. Empty at the end of the connection. */
     String read() throws IOException {
         return HttpText.message(in);
     }
 
-    /** Closes, or resets what is still on its way. */
+    /** Closes the connection, either gracefully or with a reset that discards unsent data. */
     void disconnect(boolean reset) throws IOException {
         if (reset) {
             socket.setSoLinger(true, 0);
