--- a/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
@@ -30,15 +30,15 @@
 import trestlegrade.inbound.HeaderRules;
 import trestlegrade.inbound.InboundHttpServer;
 
-/** Clients that write slowly, and such as send more than is read when their answer ends the connection. */
+/** Clients that write or read slowly, or that still send when their connection closes after a response. */
 class ClientConnectionsIT extends SidecarFixture {
 
     /**
-     * Its connection has stood idle for nearly as long as it may; the process stands still, and when it goes on the end
-     * of that time and the next transaction wait for the same turn.
+     * The process is suspended when connections have been idle for almost the idle limit. When it resumes, the idle
+     * timeout and the next transactions wait for the same event loop turn.
      */
     @Test
-    void whatComesInTheTurnInWhichItsConnectionWouldBeEnded() throws Exception {
+    void requestInTheSameTurnAsTheIdleTimeoutIsServed() throws Exception {
         endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
         useLongTimeouts();
         startAndAwaitHealthy();
@@ -61,10 +61,11 @@
     }
 
     /**
-     * The one before it takes a third of its time, and no endpoint answers it: its time counts from when it was sent.
+     * A pipelined request waits a third of its deadline for the one before it, and no endpoint responds to it. Its
+     * deadline counts from when it was sent.
      */
     @Test
-    void oneSentAheadIsAnsweredInItsOwnTime() throws Exception {
+    void deadlineOfAPipelinedRequestCountsFromItsArrival() throws Exception {
         endpoint(r -> {
             if (!"a".equals(header(r, "X-Trace-Id"))) {
                 return HANG;
@@ -79,18 +80,18 @@
         client.write(transaction("post-charge", "a", 6_000) + transaction("post-charge", "b", 6_000));
         assertEquals("200", client.read().substring(9, 12));
         assertEquals("502", client.read().substring(9, 12));
-        long took = (System.nanoTime() - sent) / 1_000_000;
-        // A second is kept for a loop that stands still; counted from the first answer it would be 7 s.
-        assertTrue(took < 6_000, "after " + took + " ms");
+        long durationMillis = (System.nanoTime() - sent) / 1_000_000;
+        // One second is reserved for an event loop stall. Counted from the first response it would be 7 s.
+        assertTrue(durationMillis < 6_000, "after " + durationMillis + " ms");
     }
 
     /**
-     * It sends on, and reads nothing for longer than a connection may stand idle: more than the kernel holds for it
-     * waits here. Then it reads, also while the program ends: each has its answer, and that is whole.
+     * A client pipelines requests and reads nothing for longer than the idle limit, so more waits in the sidecar than
+     * fits into the kernel's buffers. Then it reads, possibly during shutdown: each request gets a complete response.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void oneThatReadsItsAnswersLate(boolean ends) throws Exception {
+    void clientThatReadsLateGetsAllResponses(boolean duringShutdown) throws Exception {
         String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
         endpoint(r -> response(200, "", body));
         useLongTimeouts();
@@ -104,7 +105,7 @@
                         .write(transaction("quote", "t" + i, 39_000).getBytes(StandardCharsets.ISO_8859_1));
             }
             pause(3_000);
-            if (ends) {
+            if (duringShutdown) {
                 signal("TERM");
                 eventually(() -> log().contains("serve code=draining"));
                 pause(1_000);
@@ -113,19 +114,19 @@
             int committed = 0;
             for (int i = 0; i < 150; i++) {
                 String got = message(in);
-                boolean whole = got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + body);
+                boolean complete = got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + body);
                 assertTrue(
-                        whole || (ends && got.startsWith("HTTP/1.1 503 ")),
+                        complete || (duringShutdown && got.startsWith("HTTP/1.1 503 ")),
                         i + ": " + got.length() + " bytes, " + got.substring(0, Math.min(100, got.length())));
-                committed += whole ? 1 : 0;
+                committed += complete ? 1 : 0;
             }
             assertTrue(committed > 0, "none committed");
         }
     }
 
-    /** It has longer than any transaction may wait, and no more than that. */
+    /** A client may take as long to read as the longest deadline of a transaction, and no longer. */
     @Test
-    void oneThatNeverReadsItsAnswersIsEnded() throws Exception {
+    void connectionOfAClientThatNeverReadsIsClosed() throws Exception {
         String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
         endpoint(r -> response(200, "", body));
         startAndAwaitHealthy();
@@ -140,9 +141,9 @@
         }
     }
 
-    /** They send on and read nothing: what is held for them has a bound, and others are served. */
+    /** Clients pipeline requests and read nothing. The memory held for them is bounded, and others are served. */
     @Test
-    void thoseThatReadNothing() throws Exception {
+    void clientsThatNeverReadDoNotExhaustTheMemory() throws Exception {
         String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
         endpoint(r -> response(200, "", header(r, "X-Trace-Id").startsWith("t") ? body : "good"));
         useLongTimeouts();
@@ -159,17 +160,17 @@
         assertTrue(process.isAlive());
     }
 
-    /** Never silent for as long as a connection may stand, but longer as a whole. */
+    /** A request takes longer than the idle limit in total, but never pauses for that long. */
     @ParameterizedTest
     @CsvSource({"head, false", "body, false", "head, true", "body, true"})
-    void oneThatWritesSlowlyIsServed(String part, boolean kept) throws Exception {
+    void requestThatArrivesSlowlyIsServed(String part, boolean reused) throws Exception {
         endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
         useLongTimeouts();
         startAndAwaitHealthy();
         TestClient client = client();
-        if (kept) {
+        if (reused) {
             client.exchange(transaction("quote", "before", 9_000));
-            // Most of what a connection may stand idle is over when the next one begins.
+            // Most of the idle limit has passed when the next request begins.
             pause(1_500);
         }
         String text = transaction("post-charge", "t", 9_000)
@@ -185,11 +186,12 @@
     }
 
     /**
-     * However steadily, what takes longer than any transaction may wait is ended, and before that when nothing comes.
+     * A request that takes longer than the longest deadline of a transaction is aborted, however steadily it arrives. A
+     * request that stops arriving is aborted earlier.
      */
     @ParameterizedTest
     @CsvSource({"head, ''", "body, 408"})
-    void oneThatDripsForEverIsEnded(String part, String status) throws Exception {
+    void requestThatArrivesTooSlowlyIsAborted(String part, String status) throws Exception {
         endpoint(r -> response(200, "", "good"));
         settings()
                 .put(
@@ -205,37 +207,37 @@
         int from = part.equals("head") ? 3 : text.length() - 990;
         client.write(text.substring(0, from));
         long start = System.nanoTime();
-        Thread drip = new Thread(() -> {
+        Thread slowWriter = new Thread(() -> {
             try {
                 for (int i = 0; i < 100; i++) {
                     pause(100);
                     client.write(part.equals("head") ? "x" : text.substring(from + i, from + i + 1));
                 }
             } catch (IOException e) {
-                // Ended, as it should be.
+                // The sidecar closed the connection, as expected.
             }
         });
-        drip.start();
+        slowWriter.start();
         String got;
         try {
             got = client.read();
         } catch (IOException e) {
-            // Half a head has no answer, and what it goes on to send meets a closed connection.
+            // An incomplete head gets no response, and the client's further writes meet a closed connection.
             got = "";
         }
-        long took = (System.nanoTime() - start) / 1_000_000;
+        long durationMillis = (System.nanoTime() - start) / 1_000_000;
         assertEquals(status, got.isEmpty() ? "" : got.substring(9, 12));
-        assertTrue(took > 3_000 && took < 6_000, "after " + took + " ms");
-        drip.join();
+        assertTrue(durationMillis > 3_000 && durationMillis < 6_000, "after " + durationMillis + " ms");
+        slowWriter.join();
     }
 
     /**
-     * In a crowd each connection ends with its answer. More of the client's waits for the turn in which that is given,
-     * and the client has read nothing of it: it gets the whole answer. What it sent is answered as whole if it was read
-     * before, else it goes nowhere.
+     * During a connection flood each connection is closed after its response. The next request waits to be read in the
+     * turn in which the response is written, and the client has not read any of it. The client gets the complete
+     * response. The next request gets one as well if it was read before, else it is not forwarded.
      */
     @Test
-    void anAnswerIsWholeThoughMoreHasComeBehindItsTransaction() throws Exception {
+    void responseIsCompleteIfUnreadInputIsPendingAtTheClose() throws Exception {
         Map<String, Gate> gates = new ConcurrentHashMap<>();
         String body = "x".repeat(60_000);
         StubEndpoint endpoint = endpoint(r -> {
@@ -249,7 +251,7 @@
         useLongTimeouts();
         startAndAwaitHealthy();
         for (int i = 0; i < DescriptorBudget.forClients(sockets).limit() / 2; i++) {
-            client().exchange(transaction("quote", "crowd" + i, 9_000));
+            client().exchange(transaction("quote", "flood" + i, 9_000));
         }
         for (int i = 0; i < 12; i++) {
             String trace = "t" + i;
@@ -260,7 +262,7 @@
                 signal("STOP");
                 eventually(this::allThreadsStopped);
                 gates.get(trace).open();
-                socket.getOutputStream().write(bytes(transaction("quote", "behind" + i, 9_000)));
+                socket.getOutputStream().write(bytes(transaction("quote", "next" + i, 9_000)));
                 pause(50);
                 signal("CONT");
                 pause(50);
@@ -268,7 +270,7 @@
                 String got = message(in);
                 assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + body), i + ": " + got.length());
                 String next = message(in);
-                assertEquals(!next.isEmpty(), endpoint.received("behind" + i));
+                assertEquals(!next.isEmpty(), endpoint.received("next" + i));
                 assertTrue(next.isEmpty() || (next.startsWith("HTTP/1.1 200 ") && next.endsWith("\r\n\r\n" + body)));
                 assertEquals(-1, in.read());
             }
@@ -284,11 +286,11 @@
     }
 
     /**
-     * Its answer is there at its head; it reads that only once it has written for a while, and is not cut off
-     * meanwhile.
+     * The response is sent after the request head. The client reads it only after it has sent a part of the body
+     * slowly, and its connection is not closed meanwhile.
      */
     @Test
-    void oneThatWritesTooMuchSlowlyIsAnswered() throws Exception {
+    void slowlySentOversizedBodyIsRejectedWithAResponse() throws Exception {
         endpoint(r -> response(200, "", "good"));
         startAndAwaitHealthy();
         TestClient client = client();
@@ -301,10 +303,10 @@
         assertEquals("", client.read());
     }
 
-    /** What cannot be read is answered at once; the rest, still being sent, must not take that answer along. */
+    /** A malformed request is rejected at once. The rest of it, still being sent, must not cut off the response. */
     @ParameterizedTest
     @ValueSource(strings = {"two lengths", "no length", "long head"})
-    void whatCannotBeReadIsAnsweredWholeWhileItsRestIsBeingSent(String fault) throws Exception {
+    void malformedRequestGetsACompleteResponseWhileTheRestIsSent(String fault) throws Exception {
         endpoint(r -> response(200, "", "good"));
         startAndAwaitHealthy();
         String head = "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n"
@@ -326,20 +328,20 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** A crowd that says nothing holds all descriptors: whoever comes behind it is answered in its own time. */
+    /** A flood of silent connections holds all descriptors. The next client gets a response before its deadline. */
     @ParameterizedTest
     @CsvSource({"60, false", "60, true", "150, false"})
-    void aSilentCrowdMakesRoomForThoseThatSend(int crowd, boolean behindAStall) throws Exception {
+    void silentConnectionsAreEvictedForClientsThatSend(int silent, boolean afterAStall) throws Exception {
         sockets = 64;
         endpoint(r -> response(200, "", "good"));
         startAndAwaitHealthy();
-        if (behindAStall) {
+        if (afterAStall) {
             signal("STOP");
             pause(3_000);
             signal("CONT");
             pause(300);
         }
-        for (int i = 0; i < crowd; i++) {
+        for (int i = 0; i < silent; i++) {
             client();
         }
         TestClient next = client();
@@ -350,44 +352,44 @@
     }
 
     /**
-     * Clients in the midst of their bodies hold all descriptors for two seconds, or a silent crowd came while the
-     * process stood still; one waits for that to be let in.
+     * Clients that are sending their bodies hold all descriptors for two seconds, or a flood of silent connections
+     * arrives while the process is suspended. The next client waits to be accepted meanwhile.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatWaitedForADescriptorIsToldNoMoreTimeThanIsLeft(boolean stopped) throws Exception {
+    void forwardedDeadlineExcludesTheWaitForADescriptor(boolean suspended) throws Exception {
         sockets = 64;
-        long[] seenAt = {0};
+        long[] receivedAt = {0};
         StubEndpoint endpoint = endpoint(r -> {
-            seenAt[0] = System.nanoTime();
+            receivedAt[0] = System.nanoTime();
             return response(200, "", "good");
         });
         startAndAwaitHealthy();
-        if (stopped) {
+        if (suspended) {
             signal("STOP");
         }
         for (int i = 0; i < 30; i++) {
             client().write(
-                            stopped
+                            suspended
                                     ? ""
                                     : "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: b" + i
                                             + "\r\nContent-Length: 9\r\n\r\nb");
         }
         TestClient next = client();
-        long asked = System.nanoTime();
+        long sent = System.nanoTime();
         next.write(transaction("post-charge", "t", 2_900));
-        if (stopped) {
+        if (suspended) {
             pause(1_500);
             signal("CONT");
         }
         String got = next.read();
         if (got.startsWith("HTTP/1.1 200 ")) {
-            long told = HeaderRules.timeoutTicks(header(endpoint.requests.get(0), "X-Expires-In")) / 10;
-            long left = 2_900 - (seenAt[0] - asked) / 1_000_000;
-            assertTrue(told <= left + 150, "told " + told + " ms with " + left + " ms left");
+            long forwarded = HeaderRules.timeoutTicks(header(endpoint.requests.get(0), "X-Expires-In")) / 10;
+            long left = 2_900 - (receivedAt[0] - sent) / 1_000_000;
+            assertTrue(forwarded <= left + 150, "forwarded " + forwarded + " ms with " + left + " ms left");
         } else {
             assertTrue(got.startsWith("HTTP/1.1 503 "), got);
         }
-        assertTrue(System.nanoTime() - asked < 2_900_000_000L, "answered behind its time");
+        assertTrue(System.nanoTime() - sent < 2_900_000_000L, "response after the deadline");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointListFixture.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointListFixture.java
@@ -74,7 +74,7 @@
         return counts;
     }
 
-    /** Waits until the sidecar has applied this number of list lines. */
+    /** Waits until the sidecar has read this number of lines of the endpoint list. */
     void awaitListLines(long lines) {
         eventually(() -> counters().getLong("list_lines", 0L) == lines);
     }
