--- a/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
@@ -24,30 +24,31 @@
 import trestlegrade.inbound.DescriptorBudget;
 
 /**
- * A client leaves while its transaction waits: in each place where one can wait nothing is written for it from then on,
- * whether the settings allow to call attempts off or not. The client's end is known before the wait ends, in each test.
+ * A client disconnects while its transaction waits. Wherever a transaction can wait, nothing is sent for it afterwards,
+ * whether or not the settings allow attempts to be cancelled. In each test the sidecar detects the disconnect before
+ * the wait ends.
  */
 class ClientDisconnectIT extends SidecarFixture {
 
-    private void terms(boolean cancelling) {
+    private void configure(boolean cancelling) {
         settings().getJsonObject("ceilings").put("cancelling", cancelling).put("dial_timeout", 8_000);
         useLongTimeouts();
     }
 
-    private void leftIsKnown() {
+    private void awaitDisconnectDetected() {
         eventually(() -> counters().getLong("clients_left", 0L) == 1);
     }
 
-    /** Whatever was to be written for the others would have been by then. */
-    private void another() throws Exception {
-        assertTrue(client().exchange(transaction("quote", "another", 9_000)).startsWith("HTTP/1.1 200 "));
+    /** Completes a transaction of another client. Anything still to be sent for earlier ones is sent by then. */
+    private void completeOtherTransaction() throws Exception {
+        assertTrue(client().exchange(transaction("quote", "other", 9_000)).startsWith("HTTP/1.1 200 "));
     }
 
-    /** The endpoint's queue is full, so connections to it come up only once the test has made room. */
+    /** The endpoint's accept queue is full, so connections to it are established only once the test drains it. */
     @ParameterizedTest
     @CsvSource({"true, quote", "false, quote", "true, post-charge", "false, post-charge"})
-    void whileItsAttemptConnects(boolean cancelling, String profile) throws Exception {
-        terms(cancelling);
+    void nothingIsSentIfTheClientDisconnectsDuringTheConnect(boolean cancelling, String profile) throws Exception {
+        configure(cancelling);
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> queue = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
@@ -61,31 +62,31 @@
             client.write(transaction(profile, "t", 30_000));
             eventually(() -> counters().getLong("connects", 0L) == 1);
             client.close();
-            leftIsKnown();
+            awaitDisconnectDetected();
             for (Socket each : queue) {
                 each.close();
                 full.accept().close();
             }
-            // The kernel asks anew after one, three or seven seconds.
-            Socket up = full.accept();
-            up.setSoTimeout(1_000);
+            // The kernel retries the connect after one, three or seven seconds.
+            Socket established = full.accept();
+            established.setSoTimeout(1_000);
             int first;
             try {
-                first = up.getInputStream().read();
+                first = established.getInputStream().read();
             } catch (java.net.SocketTimeoutException e) {
                 first = -1;
             }
-            assertEquals(-1, first, "written for a client that had left");
-            up.close();
+            assertEquals(-1, first, "sent for a client that had disconnected");
+            established.close();
         }
         assertEquals(0, counters().getLong("attempts_sent"));
     }
 
-    /** No endpoint may take it until the list brings one. */
+    /** No endpoint is eligible for the transaction until the list adds one. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whileThereIsNoEndpointForIt(boolean cancelling) throws Exception {
-        terms(cancelling);
+    void nothingIsSentIfTheClientDisconnectsBeforeAnEndpointIsListed(boolean cancelling) throws Exception {
+        configure(cancelling);
         StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
         initialEndpoints = new JsonArray().add(entry(0, "leaving"));
         start();
@@ -95,25 +96,25 @@
         client.write(transaction("quote", "t", 30_000));
         eventually(() -> counters().getLong("accepted", 0L) == 1);
         client.close();
-        leftIsKnown();
+        awaitDisconnectDetected();
         discovery.writeLine(listLine(8, false, entry(0, "active")));
         eventually(() -> health() == 200);
-        another();
+        completeOtherTransaction();
         assertEquals(1, endpoint.requests.size());
     }
 
-    /** The attempt before ends once the client has left. */
+    /** The first attempt ends, rejected or with its connection, after the client has disconnected. */
     @ParameterizedTest
-    @CsvSource({"true, turned-away", "false, turned-away", "true, breaks", "false, breaks"})
-    void whileItsAttemptIsOutThatWouldBeRepeated(boolean cancelling, String end) throws Exception {
-        terms(cancelling);
+    @CsvSource({"true, rejected", "false, rejected", "true, closed", "false, closed"})
+    void attemptIsNotRetriedAfterADisconnect(boolean cancelling, String outcome) throws Exception {
+        configure(cancelling);
         Gate gate = new Gate();
         Function<String, String> answers = r -> {
             if (!"t".equals(header(r, "X-Trace-Id"))) {
                 return response(200, "", "good");
             }
             gate.awaitOpen();
-            return end.equals("breaks") ? CLOSE : response(503, "X-Never-Ran: 1\r\n", "");
+            return outcome.equals("closed") ? CLOSE : response(503, "X-Never-Ran: 1\r\n", "");
         };
         StubEndpoint first = endpoint(answers);
         StubEndpoint second = endpoint(answers);
@@ -122,16 +123,16 @@
         client.write(transaction("quote", "t", 30_000));
         eventually(() -> first.received("t") || second.received("t"));
         client.close();
-        leftIsKnown();
+        awaitDisconnectDetected();
         gate.open();
         eventually(() -> counters().getJsonObject("attempts_ended").size() > 0);
-        another();
+        completeOtherTransaction();
         assertEquals(2, first.requests.size() + second.requests.size());
     }
 
-    /** Half a head, and gone: it left, and did not send what cannot be read. */
+    /** A disconnect in the middle of a request head counts as a disconnect, not as a malformed request. */
     @Test
-    void inTheMidstOfItsHead() throws Exception {
+    void disconnectDuringARequestHeadIsNotMalformed() throws Exception {
         StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
         startAndAwaitHealthy();
         TestClient client = client();
@@ -142,19 +143,19 @@
         assertEquals(0, endpoint.requests.size());
     }
 
-    /** The process stands still while the client sends, and goes; both wait for the same turn of the loop. */
+    /** Clients send and disconnect while the process is suspended, so both wait for the same event loop turn. */
     @ParameterizedTest
     @CsvSource({"true, false", "false, false", "true, true", "false, true"})
-    void beforeItIsRead(boolean cancelling, boolean reset) throws Exception {
-        terms(cancelling);
+    void requestReadTogetherWithTheDisconnectIsNotForwarded(boolean cancelling, boolean reset) throws Exception {
+        configure(cancelling);
         StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
         startAndAwaitHealthy();
-        another();
+        completeOtherTransaction();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
         }
-        // Accepted, so that each connection is looked at on its own.
+        // All connections are accepted before the stop, so that each is checked by itself.
         clients.forEach(each -> each.exchangeUnchecked(transaction("quote", "warm" + clients.indexOf(each), 9_000)));
         int before = endpoint.requests.size();
         signal("STOP");
@@ -170,7 +171,7 @@
                         .mapToLong(e -> (Integer) e.getValue())
                         .sum()
                 >= 20);
-        another();
+        completeOtherTransaction();
         assertEquals(
                 before + 1,
                 endpoint.requests.size(),
@@ -181,21 +182,22 @@
     }
 
     /**
-     * All descriptors are held by clients that say nothing and then go all at once; others come, send and go behind.
+     * Silent clients hold all descriptors and then disconnect all at once. Others connect behind them, send a request
+     * and disconnect while they are in the listener's backlog.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void inTheListenersQueue(boolean cancelling) throws Exception {
-        terms(cancelling);
+    void requestOfAClientThatDisconnectsInTheBacklogIsNotForwarded(boolean cancelling) throws Exception {
+        configure(cancelling);
         sockets = 64;
         StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
         startAndAwaitHealthy();
-        another();
+        completeOtherTransaction();
         for (int round = 0; round < 3; round++) {
             String trace = "t" + round;
-            List<TestClient> holding = new ArrayList<>();
+            List<TestClient> silent = new ArrayList<>();
             for (int i = 0; i < DescriptorBudget.forClients(sockets).limit(); i++) {
-                holding.add(client());
+                silent.add(client());
             }
             List<TestClient> queue = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
@@ -206,7 +208,7 @@
                 queue.get(i).disconnect(i % 2 == 0);
             }
             pause(350);
-            for (TestClient each : holding) {
+            for (TestClient each : silent) {
                 each.close();
             }
             for (TestClient each : queue.subList(0, 2)) {
@@ -223,11 +225,11 @@
         }
     }
 
-    /** Sent ahead on one connection: the first is out, the others wait behind it. */
+    /** Requests are pipelined on one connection: the first has been forwarded, the others wait behind it. */
     @ParameterizedTest
     @CsvSource({"true, 3", "false, 3", "true, 400", "false, 400"})
-    void behindAnotherOnItsConnection(boolean cancelling, int ahead) throws Exception {
-        terms(cancelling);
+    void pipelinedRequestsAreNotForwardedAfterADisconnect(boolean cancelling, int pipelined) throws Exception {
+        configure(cancelling);
         Gate gate = new Gate();
         StubEndpoint endpoint = endpoint(r -> {
             if ("t0".equals(header(r, "X-Trace-Id"))) {
@@ -238,25 +240,25 @@
         startAndAwaitHealthy();
         TestClient client = client();
         StringBuilder all = new StringBuilder();
-        for (int i = 0; i < ahead; i++) {
+        for (int i = 0; i < pipelined; i++) {
             all.append(transaction("quote", "t" + i, 30_000));
         }
         client.write(all.toString());
         eventually(() -> endpoint.received("t0"));
         client.close();
-        leftIsKnown();
+        awaitDisconnectDetected();
         gate.open();
         eventually(
                 () -> cancelling || counters().getJsonObject("attempts_ended").size() > 0);
-        another();
+        completeOtherTransaction();
         assertEquals(2, endpoint.requests.size());
         assertEquals(2, counters().getLong("accepted"));
     }
 
-    /** What is sent ahead by a client that stays is answered, in order. */
+    /** Pipelined requests of a client that stays connected get their responses in order. */
     @Test
-    void thoseSentAheadByOneThatStaysAreServedInOrder() throws Exception {
-        terms(true);
+    void pipelinedRequestsAreServedInOrder() throws Exception {
+        configure(true);
         StubEndpoint endpoint = endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
         startAndAwaitHealthy();
         TestClient client = client();
@@ -274,10 +276,13 @@
         assertEquals(150, endpoint.requests.size());
     }
 
-    /** Beyond what is held for one connection it ends with an answer; what was not answered was not begun. */
+    /**
+     * Beyond the pipelining limit of a connection it is closed after a response. Requests without a response have not
+     * been forwarded.
+     */
     @Test
-    void oneThatSendsFarTooMuchAheadIsAnsweredForAWhile() throws Exception {
-        terms(true);
+    void connectionIsClosedBeyondThePipeliningLimit() throws Exception {
+        configure(true);
         Gate gate = new Gate();
         StubEndpoint endpoint = endpoint(r -> {
             if ("t0".equals(header(r, "X-Trace-Id"))) {
@@ -293,17 +298,17 @@
         }
         client.write(all.toString());
         eventually(() -> endpoint.received("t0"));
-        assertTrue(client().exchange(transaction("quote", "another", 9_000)).startsWith("HTTP/1.1 200 "));
+        assertTrue(client().exchange(transaction("quote", "other", 9_000)).startsWith("HTTP/1.1 200 "));
         gate.open();
-        int answered = 0;
+        int responses = 0;
         int committed = 0;
         for (String got = client.read(); !got.isEmpty(); got = client.read()) {
-            assertTrue(got.endsWith("\r\n\r\nt" + answered++) || got.startsWith("HTTP/1.1 503 "), got);
+            assertTrue(got.endsWith("\r\n\r\nt" + responses++) || got.startsWith("HTTP/1.1 503 "), got);
             committed += got.startsWith("HTTP/1.1 200 ") ? 1 : 0;
         }
-        assertTrue(answered > 100 && answered < 500 && committed > 100, answered + " answered");
+        assertTrue(responses > 100 && responses < 500 && committed > 100, responses + " responses");
         assertEquals(committed + 1, endpoint.requests.size());
-        // This side closes only once nothing more comes of what the client had sent.
+        // The sidecar closes its side only once no more of the client's input arrives.
         eventually(() -> counters().getJsonObject("connections_ended").getLong("client:too-far-ahead", 0L) == 1);
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/CompletedTransactionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/CompletedTransactionsIT.java
@@ -18,41 +18,41 @@
 import trestlegrade.inbound.InboundHttpServer;
 
 /**
- * Seen: processes ended by themselves with exit status 3, 19 to 30 s after their start and some seconds after all
- * servers had drained. Cause: a transaction that was given up while it waited for a server was answered, but stayed in
- * both tables of open transactions with its body; these were cleared where an arrival or an attempt's end was handled,
- * not where a transaction ends. Proved by the runtime's last line (Java heap space) and by the classes on the heap:
- * 33,880 transactions held after 33,880 refusals.
+ * Guards against a leak of completed transactions. Processes exited with status 3, 19 to 30 s after their start and a
+ * few seconds after all endpoints had drained. A transaction that was rolled back while it waited for an endpoint got
+ * its response, but stayed with its body in both tables of open transactions: these were cleared where an arrival or
+ * the end of an attempt was handled, not where a transaction ends. The last line of the JVM (Java heap space) and the
+ * classes on the heap confirmed it: 33,880 transactions were held after 33,880 rejections.
  */
 class CompletedTransactionsIT extends SidecarFixture {
-    // With bodies of 64 KiB more than the heap holds.
-    private static final int MANY = 1_600;
+    /** With bodies of 64 KiB, more than the heap can hold. */
+    private static final int TRANSACTIONS = 1_600;
 
     private final StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
 
     @BeforeEach
-    void shortGoals() {
+    void useShortServiceGoals() {
         settings().getJsonArray("profiles").forEach(each -> ((JsonObject) each).put("service_goal", 40));
         initialEndpoints = new io.vertx.core.json.JsonArray().add(entry(0, "leaving"));
     }
 
-    private static String posted(String trace) {
+    private static String postWithLargestBody(String trace) {
         String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
         return "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + trace
                 + "\r\nX-Expires-In: 900m\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private void refused(int from, int to) {
+    private void assertRejected(int from, int to) {
         try (TestClient client = new TestClient(port)) {
             for (int i = from; i < to; i++) {
-                assertTrue(client.exchange(posted("t" + i)).startsWith("HTTP/1.1 503 "));
+                assertTrue(client.exchange(postWithLargestBody("t" + i)).startsWith("HTTP/1.1 503 "));
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private void nothingIsHeld() {
+    private void assertNothingIsHeld() {
         eventually(() -> {
             JsonObject now = counters().getJsonObject("now", new JsonObject());
             return List.of("transactions", "held_transactions", "open_ids").stream()
@@ -62,24 +62,24 @@
     }
 
     @Test
-    void whatIsGivenUpWhileItWaitsForAServer() throws Exception {
+    void transactionsRolledBackWithoutAnEndpointAreReleased() throws Exception {
         start();
         eventually(() -> counters().getJsonObject("now") != null);
-        IntStream.range(0, 8).parallel().forEach(i -> refused(i * MANY / 8, (i + 1) * MANY / 8));
+        IntStream.range(0, 8).parallel().forEach(i -> assertRejected(i * TRANSACTIONS / 8, (i + 1) * TRANSACTIONS / 8));
         assertTrue(process.isAlive());
         assertEquals(
-                MANY,
+                TRANSACTIONS,
                 counters()
                         .getJsonObject("rejections")
                         .getJsonObject("no_endpoint")
                         .getInteger("rolled_back"));
-        nothingIsHeld();
+        assertNothingIsHeld();
         assertEquals(0, endpoint.requests.size());
     }
 
-    /** The decisions under earlier settings go with the last transaction that was taken under them. */
+    /** The policy of earlier settings is released with the last transaction that was accepted under it. */
     @Test
-    void whatIsGivenUpUnderEarlierSettings() throws Exception {
+    void policyOfEarlierSettingsIsReleasedWithItsLastTransaction() throws Exception {
         settings()
                 .getJsonArray("profiles")
                 .forEach(each -> ((JsonObject) each).put("service_goal", 8_000).put("hard_limit", 9_000));
@@ -95,6 +95,6 @@
         signal("HUP");
         eventually(() -> counters().getJsonObject("now").getInteger("policy_generations") == 2);
         assertTrue(client.read().startsWith("HTTP/1.1 503 "));
-        nothingIsHeld();
+        assertNothingIsHeld();
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/ConfigErrorsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ConfigErrorsIT.java
@@ -13,17 +13,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Configurations that cannot be used end the program at its start. */
+/** The program exits at startup if its configuration is invalid. */
 class ConfigErrorsIT extends SidecarFixture {
     /**
-     * A key of the file is wrong or missing. The program ends with a status other than 0, and its log names the key.
+     * A key of the file is invalid or missing. The program exits with a status other than 0, and its log names the key.
      */
     @ParameterizedTest
     @CsvSource({
         "listen, 'nowhere', listen", "discovery, '127.0.0.1:0', discovery", "seed, 'xyz', seed", "name, '', name",
         "settings, , settings", "limits, , limits", "known, , known", "known, '{}', known"
     })
-    void badConfigurationEndsTheProgramNamingTheKey(String key, String value, String named) throws Exception {
+    void invalidConfigurationEndsTheProgramNamingTheKey(String key, String value, String named) throws Exception {
         endpoint(r -> HANG);
         JsonObject file = configuration();
         if (value == null) {
@@ -31,10 +31,10 @@
         } else {
             file.put(key, value);
         }
-        refused(file.encode(), named);
+        assertExitsNaming(file.encode(), named);
     }
 
-    /** As above, for the keys of the settings, by their path. */
+    /** The same for the keys of the settings, which the log names by their path. */
     @ParameterizedTest
     @CsvSource({
         "profiles.0.effect, sometimes",
@@ -51,39 +51,39 @@
         "fees.connection, x",
         "goal.worst_class, x"
     })
-    void badSettingsEndTheProgramNamingTheKey(String path, String value) throws Exception {
+    void invalidSettingEndsTheProgramNamingItsPath(String path, String value) throws Exception {
         endpoint(r -> HANG);
         JsonObject file = configuration();
-        JsonObject at = file.getJsonObject("settings");
-        String[] steps = path.split("\\.");
-        for (int i = 0; i < steps.length - 1; i++) {
-            if (!at.containsKey(steps[i])) {
-                at.put(steps[i], new JsonObject());
+        JsonObject parent = file.getJsonObject("settings");
+        String[] segments = path.split("\\.");
+        for (int i = 0; i < segments.length - 1; i++) {
+            if (!parent.containsKey(segments[i])) {
+                parent.put(segments[i], new JsonObject());
             }
-            at = at.getValue(steps[i]) instanceof JsonArray array
-                    ? array.getJsonObject(Integer.parseInt(steps[++i]))
-                    : at.getJsonObject(steps[i]);
+            parent = parent.getValue(segments[i]) instanceof JsonArray array
+                    ? array.getJsonObject(Integer.parseInt(segments[++i]))
+                    : parent.getJsonObject(segments[i]);
         }
-        at.put(steps[steps.length - 1], value == null ? new JsonArray() : value);
-        refused(file.encode(), path);
+        parent.put(segments[segments.length - 1], value == null ? new JsonArray() : value);
+        assertExitsNaming(file.encode(), path);
     }
 
-    /** The file is empty, cut, or no object. */
+    /** The file is empty, truncated, or not an object. */
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "{\"name\":", "{}"})
-    void fileThatIsNoConfigurationEndsTheProgram(String text) throws Exception {
-        refused(text, text.equals("{}") ? "settings" : "LB_CONFIG");
+    void malformedFileEndsTheProgram(String text) throws Exception {
+        assertExitsNaming(text, text.equals("{}") ? "settings" : "LB_CONFIG");
     }
 
-    /** Another process listens at the address. A sidecar that went on would look alive and serve nobody. */
+    /** Another process listens on the address. A sidecar that kept running would look alive and serve no client. */
     @Test
     void addressInUseEndsTheProgram() throws Exception {
         endpoint(r -> HANG);
         JsonObject file = configuration();
-        refused(file.put("listen", "127.0.0.1:" + endpoints.get(0).port()).encode(), "listen-failed");
+        assertExitsNaming(file.put("listen", "127.0.0.1:" + endpoints.get(0).port()).encode(), "listen-failed");
     }
 
-    private void refused(String file, String named) throws Exception {
+    private void assertExitsNaming(String file, String named) throws Exception {
         start(file);
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         assertNotEquals(0, process.exitValue());
--- a/sidecar/src/test/java/trestlegrade/integration/ConfigReloadIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ConfigReloadIT.java
@@ -16,64 +16,65 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** SIGHUP: the configuration is read anew in the running program. */
+/** SIGHUP makes the running program read its configuration again. */
 class ConfigReloadIT extends SidecarFixture {
 
     /**
-     * Discovery moves, and some of the files on the way there are bad. From SIGHUP on the file's discovery is asked,
-     * once and from the version held on; what is open, the list, and the old place under a bad file stay.
+     * The address of discovery changes, after some invalid files. After SIGHUP the watch is opened at the address of
+     * the file, once and from the version held on. Open transactions and the endpoint list are kept, and so is the old
+     * address if the file is invalid.
      */
     @Test
-    void reloadMovesDiscoveryAndKeepsWhatIsOpen() throws Exception {
+    void reloadSwitchesDiscoveryAndKeepsOpenTransactions() throws Exception {
         StubEndpoint first = endpoint(r -> {
             pause(200);
             return response(200, "", "good");
         });
         endpoint(r -> response(200, "", "good"));
-        StubDiscovery elsewhere = new StubDiscovery(r -> HANG);
-        closeables.add(elsewhere);
+        StubDiscovery newDiscovery = new StubDiscovery(r -> HANG);
+        closeables.add(newDiscovery);
         startAndAwaitHealthy();
         eventually(() -> discovery.requests.size() == 1);
         Path file = dir.resolve("config.json");
-        JsonObject told = new JsonObject(Files.readString(file));
-        badFilesChangeNothing(file, told);
+        JsonObject changed = new JsonObject(Files.readString(file));
+        assertInvalidFilesChangeNothing(file, changed);
         TestClient client = client();
         client.write(transaction("post-charge", "t", 2_000));
-        told.put("discovery", "127.0.0.1:" + elsewhere.port())
+        changed.put("discovery", "127.0.0.1:" + newDiscovery.port())
                 .getJsonObject("limits")
                 .put("sockets", 512);
-        Files.writeString(file, told.encode());
+        Files.writeString(file, changed.encode());
         for (int i = 0; i < 3; i++) {
             signal("HUP");
             pause(20);
         }
         assertTrue(client.read().startsWith("HTTP/1.1 200 "));
-        eventually(() -> elsewhere.requests.size() == 1 && discovery.closedConnections.size() == 1);
+        eventually(() -> newDiscovery.requests.size() == 1 && discovery.closedConnections.size() == 1);
         assertTrue(
-                elsewhere.requests.get(0).startsWith("GET /catalog/members?stream=1&index=7 "),
-                elsewhere.requests.get(0));
+                newDiscovery.requests.get(0).startsWith("GET /catalog/members?stream=1&index=7 "),
+                newDiscovery.requests.get(0));
         assertTrue(log().contains("at_restart=[limits]"), log());
-        elsewhere.writeLine(listLine(8, false, entry(0, "leaving")));
+        newDiscovery.writeLine(listLine(8, false, entry(0, "leaving")));
         eventually(() -> counters().getLong("list_lines") == 1);
-        nothingGoesTo(first, client);
-        assertEquals(1, elsewhere.connectionCount.get() + elsewhere.closedConnections.size());
+        assertNothingIsSentTo(first, client);
+        assertEquals(1, newDiscovery.connectionCount.get() + newDiscovery.closedConnections.size());
         client.close();
         process.destroy();
         assertTrue(process.waitFor(2, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
-    private void badFilesChangeNothing(Path file, JsonObject told) throws Exception {
-        for (String bad :
-                List.of("{\"name\":", told.copy().put("discovery", "nowhere").encode())) {
-            Files.writeString(file, bad);
+    private void assertInvalidFilesChangeNothing(Path file, JsonObject changed) throws Exception {
+        for (String text :
+                List.of("{\"name\":", changed.copy().put("discovery", "nowhere").encode())) {
+            Files.writeString(file, text);
             signal("HUP");
-            eventually(() -> log().contains(bad.endsWith(":") ? "code=unreadable" : "discovery: must be host:port"));
+            eventually(() -> log().contains(text.endsWith(":") ? "code=unreadable" : "discovery: must be host:port"));
         }
         assertEquals(0, discovery.closedConnections.size());
     }
 
-    private static void nothingGoesTo(StubEndpoint drained, TestClient client) throws Exception {
+    private static void assertNothingIsSentTo(StubEndpoint drained, TestClient client) throws Exception {
         int before = drained.requests.size();
         for (int i = 0; i < 20; i++) {
             assertTrue(client.exchange(transaction("quote", "u" + i, 900)).startsWith("HTTP/1.1 200 "));
@@ -81,9 +82,12 @@
         assertEquals(before, drained.requests.size());
     }
 
-    /** A SIGHUP while the program was starting ended it with status 129: the JVM's own handler was still in place. */
+    /**
+     * Guards against a SIGHUP during startup that ends the program with status 129, because the JVM's own handler is
+     * still installed.
+     */
     @Test
-    void aReloadDuringTheStartIsKeptUntilItCanBeDone() throws Exception {
+    void reloadDuringStartupIsDeferred() throws Exception {
         endpoint(r -> response(200, "", "good"));
         logClassLoading = true;
         start();
@@ -93,9 +97,12 @@
         eventually(() -> log().contains("reload code=read"));
     }
 
-    /** A SIGHUP before the program's first line ends the process: the JVM has no handler, or its own. */
+    /**
+     * Guards against a SIGHUP that ends the process before the first statement of the program, when the JVM has no
+     * handler or its own.
+     */
     @Test
-    void aReloadBeforeTheProgramBeginsDoesNotEndIt() throws Exception {
+    void reloadBeforeTheFirstStatementDoesNotEndTheProgram() throws Exception {
         endpoint(r -> response(200, "", "good"));
         start();
         signal("HUP");
--- a/sidecar/src/test/java/trestlegrade/integration/ConnectionReuseIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ConnectionReuseIT.java
@@ -13,43 +13,43 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Connections to endpoints that are used again, and those that must not be. */
+/** Connections to endpoints: which are reused, and which must not be. */
 class ConnectionReuseIT extends SidecarFixture {
     /**
-     * An endpoint closes connections that were idle for its keep-alive time, and an attempt that crosses the close is
-     * lost. Connections are reused, and closed before that time.
+     * An endpoint closes connections that were idle for its keep-alive time, and an attempt that is sent at the same
+     * moment is lost. Connections are reused, but closed before that time.
      */
     @Test
-    void idleConnectionsAreReusedAndClosedBeforeTheEndpointWould() throws Exception {
+    void idleConnectionsAreReusedAndClosedBeforeTheEndpointClosesThem() throws Exception {
         StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
         settings().getJsonObject("ceilings").put("keepalive", 1_000.0);
         startAndAwaitHealthy();
         TestClient client = client();
         for (int i = 0; i < 5; i++) {
             client.exchange(transaction("quote", "t" + i, 500));
-            // A connection rests for 30 ms behind an answer.
+            // A connection is quarantined for 30 ms after a response.
             pause(60);
         }
         assertEquals(1, endpoint.connectionCount.get());
         assertEquals(0, endpoint.closedConnections.size());
         long start = System.nanoTime();
         eventually(() -> endpoint.closedConnections.size() == 1);
-        assertTrue((System.nanoTime() - start) / 1_000_000 >= 700, "dropped too soon");
+        assertTrue((System.nanoTime() - start) / 1_000_000 >= 700, "closed too soon");
         client.exchange(transaction("quote", "t9", 500));
         assertEquals(2, endpoint.connectionCount.get());
     }
 
-    /** The endpoint ends connections idle for 0.15 s under the next attempt: that costs one transaction, not all. */
+    /** The endpoint closes connections idle for 0.15 s at the next attempt. That costs one transaction, not all. */
     @Test
-    void connectionsThatBreakAfterIdlingAreNotTrustedAgain() throws Exception {
+    void connectionsAreNotReusedAfterAnIdleTimeThatFailed() throws Exception {
         AtomicInteger pooled = new AtomicInteger();
         long[] last = {System.nanoTime()};
         StubEndpoint endpoint = endpoint(r -> HANG);
         endpoint.responder = r -> {
-            boolean old = pooled.getAndSet(endpoint.connectionCount.get()) == endpoint.connectionCount.get();
+            boolean reused = pooled.getAndSet(endpoint.connectionCount.get()) == endpoint.connectionCount.get();
             boolean idle = System.nanoTime() - last[0] > 150_000_000;
             last[0] = System.nanoTime();
-            return old && idle ? CLOSE : response(200, "", "good");
+            return reused && idle ? CLOSE : response(200, "", "good");
         };
         startAndAwaitHealthy();
         TestClient client = client();
@@ -58,16 +58,17 @@
             committed += client.exchange(transaction("post-charge", "t" + i, 900)).startsWith("HTTP/1.1 200 ") ? 1 : 0;
             pause(200);
         }
-        // A busy machine may see the first break too late to learn of it; never learnt, every other one would break.
-        assertTrue(committed >= 7, "only " + committed);
+        // A busy machine may notice the first failure too late to learn from it. Without learning, every other
+        // transaction would fail.
+        assertTrue(committed >= 7, "only " + committed + " committed");
     }
 
     /**
-     * An attempt times out: the way to its endpoint may be dead. An idle connection is trusted from then on only if it
-     * has brought an answer since.
+     * An attempt times out, so the path to its endpoint may be dead. From then on an idle connection is reused only if
+     * it has received a response since.
      */
     @Test
-    void timeoutClosesIdleConnectionsWithoutALaterAnswer() throws Exception {
+    void timeoutClosesIdleConnectionsWithoutALaterResponse() throws Exception {
         StubEndpoint endpoint = endpoint(r -> {
             pause(100);
             return r.contains("hang") ? HANG : response(200, "", "good");
@@ -92,12 +93,9 @@
         assertEquals(2, endpoint.closedConnections.size());
     }
 
-    /**
-     * The endpoint says that it ends the connection with its answer. An attempt that is written behind it would be
-     * lost.
-     */
+    /** The endpoint closes the connection after its response, as announced. A further attempt would be lost. */
     @Test
-    void connectionThatAnAnswerClosesIsNotReused() throws Exception {
+    void connectionClosedByAResponseIsNotReused() throws Exception {
         StubEndpoint endpoint = endpoint(r -> response(200, "Connection: close\r\n", "good"));
         startAndAwaitHealthy();
         TestClient client = client();
