--- a/sidecar/src/test/java/trestlegrade/integration/ConfigReloadIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ConfigReloadIT.java
@@ -21,8 +21,8 @@
 
     /**
      * The address of discovery changes, after some invalid files. After SIGHUP the watch is opened at the address of
-     * the file, once and from the version held on. Open transactions and the endpoint list are kept, and so is the old
-     * address if the file is invalid.
+     * the file, once and from the version held on. Open transactions and the endpoint list are kept. An invalid file
+     * keeps the old address.
      */
     @Test
     void reloadSwitchesDiscoveryAndKeepsOpenTransactions() throws Exception {
--- a/sidecar/src/test/java/trestlegrade/integration/DescriptorLimitIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/DescriptorLimitIT.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import trestlegrade.inbound.DescriptorBudget;
 
-/** More connections than the descriptors of a sidecar. */
+/** More connections than a sidecar has descriptors. */
 class DescriptorLimitIT extends SidecarFixture {
     /**
-     * All other connections are busy, so there is no room for those that come last; those that say nothing do not keep
-     * it.
+     * All descriptors for clients are held, by busy connections and by silent ones. The silent ones give way to a
+     * client that sends a request.
      */
     @Test
     void silentConnectionsDoNotHoldTheLastDescriptors() throws Exception {
@@ -33,28 +33,28 @@
                 .put("service_goal", 40_000);
         StubEndpoint endpoint = endpoint(r -> HANG);
         startAndAwaitHealthy();
-        int room = DescriptorBudget.forClients(sockets).limit();
+        int maxClients = DescriptorBudget.forClients(sockets).limit();
         List<TestClient> clients = new ArrayList<>();
-        for (int i = 0; i < room; i++) {
+        for (int i = 0; i < maxClients; i++) {
             clients.add(client());
             if (i < DescriptorBudget.forAttempts(sockets).limit()) {
                 clients.get(i).write(transaction("quote", "t" + i, 30_000));
                 eventually(() -> endpoint.requests.size() == clients.size());
             }
         }
-        // In the listener's queue, for all descriptors are held.
+        // Waits in the listener's backlog at first, because all descriptors are held.
         String got = client().exchange(transaction("quote", "u", 5_000));
         assertTrue(got.startsWith("HTTP/1.1 "), got);
     }
 
-    /** Clients connect and say nothing. They cost the usual clients neither their connections nor a turn. */
+    /** Clients connect and send nothing. Regular clients lose neither connections nor requests to them. */
     @Test
-    void silentConnectionsMakeRoomForOnesThatSend() throws Exception {
+    void silentConnectionsAreEvictedForConnectionsThatSend() throws Exception {
         endpoint(r -> response(200, "", "good"));
         sockets = 64;
         startAndAwaitHealthy();
-        TestClient kept = client();
-        assertTrue(kept.exchange(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
+        TestClient regular = client();
+        assertTrue(regular.exchange(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
         for (int i = 0; i < 14; i++) {
             client();
         }
@@ -62,15 +62,15 @@
         for (int i = 0; i < 10; i++) {
             assertTrue(client().exchange(transaction("quote", "u" + i, 500)).startsWith("HTTP/1.1 200 "));
         }
-        assertTrue(kept.exchange(transaction("quote", "v", 500)).startsWith("HTTP/1.1 200 "));
+        assertTrue(regular.exchange(transaction("quote", "v", 500)).startsWith("HTTP/1.1 200 "));
     }
 
     /**
-     * More clients come than there are descriptors for attempts, and the endpoint is silent. Each client is answered;
-     * those whose attempt found no descriptor are rolled back.
+     * More clients connect than there are descriptors for attempts, and the endpoint is silent. Each client gets a
+     * response; transactions whose attempt found no descriptor are rolled back.
      */
     @Test
-    void clientsBeyondTheDescriptorsAreAnswered() throws Exception {
+    void clientsBeyondTheDescriptorLimitGetAResponse() throws Exception {
         StubEndpoint silent = endpoint(r -> HANG);
         sockets = 64;
         startAndAwaitHealthy();
@@ -92,18 +92,18 @@
             each.close();
         }
         pause(100);
-        // The decisions roll back early for a while after so much silence.
+        // The policy rolls back early for a while after so many attempts without a response.
         TestClient after = client();
         within(5_000, () -> after.exchangeUnchecked(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
     }
 
     /**
-     * Clients that ask once on each connection and keep it would hold all descriptors. They hold no more than half of
-     * what clients may.
+     * Clients that send one request on each connection and keep it open would hold all descriptors. They hold no more
+     * than half of the descriptors for clients.
      */
     @ParameterizedTest
     @ValueSource(strings = {"quote", "_health"})
-    void inACrowdConnectionsEndWithTheirAnswer(String asked) throws Exception {
+    void connectionsAreClosedAfterTheirResponseDuringAFlood(String target) throws Exception {
         endpoint(r -> response(200, "", "good"));
         sockets = 100;
         startAndAwaitHealthy();
@@ -112,7 +112,7 @@
             TestClient each = client();
             clients.add(each);
             String got = each.exchange(
-                    asked.equals("quote")
+                    target.equals("quote")
                             ? transaction("quote", "t" + i, 500)
                             : "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n");
             assertTrue(got.startsWith("HTTP/1.1 200 "), got);
@@ -123,8 +123,8 @@
     }
 
     /**
-     * New clients come while many wait for their answers. Busy connections are kept however many more come; silent ones
-     * make room first.
+     * New clients connect while many wait for their responses. Busy connections are kept however many clients connect,
+     * because silent connections are closed first.
      */
     @Test
     void busyConnectionsAreKept() throws Exception {
@@ -134,8 +134,8 @@
         });
         sockets = 100;
         startAndAwaitHealthy();
-        // The loop stands still for up to half a second as it starts, and remembers that, halved each second:
-        // meanwhile it makes no room by connections that may hold something unread.
+        // The event loop stalls for up to half a second at startup, and its recorded lag halves each second. Until
+        // then no connection is closed that may hold unread data.
         pause(2_500);
         List<TestClient> busy = new ArrayList<>();
         for (int i = 0; i < 25; i++) {
@@ -147,7 +147,7 @@
         }
         pause(700);
         for (int i = 0; i < 20; i++) {
-            // The decisions may roll back early after so long without a commit; there is room in any case.
+            // The policy may roll back early after so long without a commit, but there is a descriptor in any case.
             client().exchange(transaction("quote", "u" + i, 500));
         }
         assertTrue(log().contains("client code=room") && !log().contains("client code=too-many"), log());
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointChangesIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointChangesIT.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Changes of the endpoint list meet transactions and connections. */
+/** Effects of changes of the endpoint list on transactions and connections. */
 class EndpointChangesIT extends SidecarFixture {
     /**
-     * An endpoint drains, and what is sent to it from then on may be lost. Its idle connections are closed, and nothing
-     * goes to it until the list has it again.
+     * An endpoint drains, so attempts that are sent to it from then on may be lost. Its idle connections are closed,
+     * and nothing is sent to it until the list contains it as active again.
      */
     @Test
-    void drainingEndpointGetsNothingNew() throws Exception {
+    void drainingEndpointGetsNoNewTransactions() throws Exception {
         StubEndpoint first = endpoint(r -> response(200, "", "good"));
         StubEndpoint second = endpoint(r -> response(200, "", "good"));
         startAndAwaitHealthy();
@@ -47,11 +47,11 @@
     }
 
     /**
-     * An endpoint is replaced at its address. Only the one that started last can listen there, whatever the list still
-     * says of the other.
+     * An endpoint is replaced at its address. Only the endpoint that started last can listen there, whatever the list
+     * still says about the old one.
      */
     @Test
-    void newNameAtAnOldAddressTakesNoConnectionOver() throws Exception {
+    void newEndpointAtAnOldAddressInheritsNoConnection() throws Exception {
         StubEndpoint first = endpoint(r -> response(200, "", "good"));
         endpoint(r -> response(200, "", "good"));
         startAndAwaitHealthy();
@@ -68,7 +68,7 @@
             client.exchange(transaction("quote", "u" + i, 500));
         }
         assertTrue(first.requests.size() > before + 10);
-        // What is said of the old one later changes nothing for the new one.
+        // Later entries of the old endpoint do not affect the new one.
         discovery.writeLine(listLine(9, false, entry(0, "left"), entry(1, "leaving"), entry(0, "active")));
         eventually(() -> counters().getLong("list_lines") == 2);
         before = first.requests.size();
@@ -77,23 +77,23 @@
         assertTrue(log().contains("pooled code=gone peer=s-0 "), log());
     }
 
-    /** A watch ends, is refused, is not one, or goes silent. It is requested again, from the last version on. */
+    /** A watch ends, is rejected, is malformed, or falls silent. It is requested again from the last version. */
     @ParameterizedTest
-    @ValueSource(strings = {"ends", "refused", "nonsense", "silent"})
+    @ValueSource(strings = {"ended", "rejected", "malformed", "silent"})
     void failedWatchIsRequestedAgain(String fault) throws Exception {
         endpoint(r -> response(200, "", "good"));
         discovery.heartbeats = false;
         discovery.responder =
-                r -> discovery.requests.size() > 1 || !fault.equals("refused") ? HANG : response(503, "", "");
+                r -> discovery.requests.size() > 1 || !fault.equals("rejected") ? HANG : response(503, "", "");
         startAndAwaitHealthy();
         eventually(() -> !discovery.requests.isEmpty());
-        if (!fault.equals("refused")) {
+        if (!fault.equals("rejected")) {
             discovery.writeLine(listLine(12, false));
             eventually(() -> counters().getLong("list_lines") == 1);
         }
-        if (fault.equals("ends")) {
+        if (fault.equals("ended")) {
             discovery.closeAllConnections();
-        } else if (fault.equals("nonsense")) {
+        } else if (fault.equals("malformed")) {
             discovery.writeLine("{\"index\":");
         }
         within(7_000, () -> discovery.requests.size() == 2);
@@ -101,20 +101,20 @@
                 discovery
                         .requests
                         .get(1)
-                        .startsWith("GET /catalog/members?stream=1&index=" + (fault.equals("refused") ? 7 : 12) + " "),
+                        .startsWith("GET /catalog/members?stream=1&index=" + (fault.equals("rejected") ? 7 : 12) + " "),
                 discovery.requests.get(1));
         assertTrue(client().exchange(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
     }
 
     /**
-     * The process stands still past the grace for drains; what the list said meanwhile comes before what clients sent.
-     * From then on answers leave more time before their deadlines.
+     * The process is suspended for longer than the drain grace. A change of the list that arrives meanwhile is applied
+     * before requests that clients sent. From then on responses are sent earlier before their deadlines.
      */
     @Test
     void stalledEventLoopAppliesTheListBeforeRequests() throws Exception {
         StubEndpoint first = endpoint(r -> response(200, "", "good"));
         StubEndpoint second = endpoint(r -> response(200, "", "good"));
-        raiseLimitOfQuotes();
+        raiseHardLimitOfQuotes();
         startAndAwaitHealthy();
         eventually(() -> discovery.requests.size() == 1);
         List<TestClient> clients = new ArrayList<>();
@@ -122,17 +122,17 @@
             clients.add(client());
             clients.get(i).exchange(transaction("quote", "t" + i, 500));
         }
-        TestClient over = client();
-        over.exchange(transaction("quote", "t20", 500));
+        TestClient expired = client();
+        expired.exchange(transaction("quote", "t20", 500));
         clients.get(0).write(transaction("quote", "u", 2_900));
         eventually(() -> first.received("u") || second.received("u"));
         signal("STOP");
         eventually(this::allThreadsStopped);
         for (TestClient each : clients.subList(1, 20)) {
-            // Long enough that a busy machine has time left for them after the stop.
+            // Long enough that time remains after the suspension, even on a busy machine.
             each.write(transaction("post-charge", "v" + clients.indexOf(each), 2_900));
         }
-        over.write(transaction("quote", "over", 1_000));
+        expired.write(transaction("quote", "expired", 1_000));
         discovery.writeLine(listLine(8, false, entry(0, "leaving")));
         pause(1_100);
         int before = first.requests.size();
@@ -141,16 +141,16 @@
             assertTrue(each.read().startsWith("HTTP/1.1 200 "));
         }
         assertEquals(before, first.requests.size());
-        assertTrue(over.read().startsWith("HTTP/1.1 503 "));
-        assertTrue(!first.received("over") && !second.received("over"), "its time was over before it was read");
+        assertTrue(expired.read().startsWith("HTTP/1.1 503 "));
+        assertTrue(!first.received("expired") && !second.received("expired"), "read and forwarded after its deadline");
         second.responder = r -> HANG;
         Stopwatch watch = new Stopwatch();
         assertTrue(clients.get(0).exchange(transaction("quote", "w", 2_900)).startsWith("HTTP/1.1 503 "));
-        long took = watch.milliseconds();
-        assertTrue(took < 2_500, "after " + took + " ms");
+        long durationMillis = watch.milliseconds();
+        assertTrue(durationMillis < 2_500, "after " + durationMillis + " ms");
     }
 
-    private void raiseLimitOfQuotes() {
+    private void raiseHardLimitOfQuotes() {
         settings()
                 .put(
                         "profiles",
@@ -160,7 +160,7 @@
                                 .replace("\"hard_limit\":1500", "\"hard_limit\":3000")));
     }
 
-    /** Each watch brings the list and ends at once. Requested at once, over and over, discovery would be flooded. */
+    /** Each watch sends the list and ends at once. Without a delay the requests for watches would flood discovery. */
     @Test
     void watchThatEndsAtOnceIsRequestedOnceASecond() throws Exception {
         endpoint(r -> response(200, "", "good"));
@@ -170,7 +170,7 @@
         eventually(() -> discovery.requests.size() > 0);
         int before = discovery.requests.size();
         pause(2_500);
-        int asked = discovery.requests.size() - before;
-        assertTrue(asked >= 1 && asked <= 3, asked + " times in 2.5 s");
+        int count = discovery.requests.size() - before;
+        assertTrue(count >= 1 && count <= 3, count + " times in 2.5 s");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointListIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointListIT.java
@@ -20,15 +20,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lines of the endpoint list that are cut, unusable, or meet what is being sent. */
+/** Lines of the endpoint list that are split, malformed, or arrive together with requests. */
 class EndpointListIT extends EndpointListFixture {
     /**
-     * Discovery writes its list over several lines, and the network cuts them anywhere. A reader that takes lines or
+     * Discovery writes its list over several lines, and the network splits them anywhere. A reader that takes lines or
      * packets for objects misses a drain.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 100_000})
-    void indentedListsAreReadWhereverTheyAreCut(int length) throws Exception {
+    void indentedListsAreReadHoweverTheyAreSplit(int length) throws Exception {
         startWatched();
         String text = new JsonObject(listLine(8, true, entry(0, "active"), entry(1, "active"))).encodePrettily() + "\n"
                 + new JsonObject(listLine(9, false, entry(0, "leaving"))).encodePrettily();
@@ -41,8 +41,8 @@
     }
 
     /**
-     * A line of the list is malformed. The version held moves only with what was applied, so the line is requested
-     * again.
+     * A line of the list is malformed. The version held advances only with changes that were applied, so the line is
+     * requested again.
      */
     @ParameterizedTest
     @CsvSource(
@@ -58,7 +58,7 @@
                 "{'index':8,'endpoints':[}|0"
             },
             delimiter = '|')
-    void unusableLineIsRequestedAgain(String line, int applied) throws Exception {
+    void malformedLineIsRequestedAgain(String line, int applied) throws Exception {
         startWatched();
         discovery.writeLine(
                 line.replace('\'', '"').replace("LEAVING", entry(0, "leaving").encode()));
@@ -68,16 +68,16 @@
                 discovery.requests.get(1));
         assertEquals(1, counters().getLong("list_lines_bad"));
         assertTrue(log().contains("list code=bad-line cause="));
-        int[] shares = requestsPerEndpoint("t");
-        assertTrue(applied == 1 ? shares[0] == 0 : shares[0] > 0 && shares[1] > 0, shares[0] + " and " + shares[1]);
+        int[] counts = requestsPerEndpoint("t");
+        assertTrue(applied == 1 ? counts[0] == 0 : counts[0] > 0 && counts[1] > 0, counts[0] + " and " + counts[1]);
         discovery.writeLine(listLine(8, false, entry(0, "leaving")));
-        eventually(() -> tries(0));
+        eventually(() -> receivesNothing(0));
         assertEquals(0, requestsPerEndpoint("u")[0]);
     }
 
     /**
-     * One entry of a line is malformed. What it says for sure counts, in a change and in a whole list; the other
-     * entries are as listed.
+     * One entry of a line is malformed. What it states beyond doubt is applied, in a change and in a snapshot, and so
+     * are the other entries.
      */
     @ParameterizedTest
     @CsvSource(
@@ -91,36 +91,36 @@
                 "{'name':'s-0','status':'active','address':'ADDRESS','since_ms':'then'}|stays",
                 "{'name':7,'status':'leaving','address':'ADDRESS'}|gone",
                 "{'name':7,'status':'active','address':'ADDRESS'}|stays",
-                "{'name':'s-9','status':'left','address':7}|absent",
-                "{'name':null,'status':'left'}|absent",
-                "7|absent",
-                "null|absent"
+                "{'name':'s-9','status':'left','address':7}|ignored",
+                "{'name':null,'status':'left'}|ignored",
+                "7|ignored",
+                "null|ignored"
             },
             delimiter = '|')
-    void unreadableEntryCountsForWhatItSaysForSure(String unreadable, String becomes) throws Exception {
+    void malformedEntryIsAppliedAsFarAsItIsClear(String malformed, String expected) throws Exception {
         startWatched();
-        String entry = unreadable
+        String entry = malformed
                 .replace('\'', '"')
                 .replace("ADDRESS", entry(0, "active").getString("address"));
-        for (boolean whole : new boolean[] {false, true}) {
-            String here = listLine(8, true, entry(0, "active"), entry(1, "active"));
-            discovery.writeLine(here);
-            String line = listLine(9, whole, entry(1, "active"));
+        for (boolean snapshot : new boolean[] {false, true}) {
+            String bothActive = listLine(8, true, entry(0, "active"), entry(1, "active"));
+            discovery.writeLine(bothActive);
+            String line = listLine(9, snapshot, entry(1, "active"));
             discovery.writeLine(line.replace("[{", "[" + entry + ",{"));
-            awaitListLines(whole ? 4 : 2);
-            int first = requestsPerEndpoint("t" + whole)[0];
-            boolean stays = becomes.equals("stays") || (becomes.equals("absent") && !whole);
-            assertTrue(stays ? first > 0 : first == 0, (whole ? "whole: " : "change: ") + first);
-            // One that has left needs no more than its name to be read.
-            boolean readable = unreadable.contains("'s-") && unreadable.contains("'left'");
-            assertEquals(readable ? 0 : whole ? 2 : 1, counters().getLong("list_entries_bad"));
+            awaitListLines(snapshot ? 4 : 2);
+            int first = requestsPerEndpoint("t" + snapshot)[0];
+            boolean stays = expected.equals("stays") || (expected.equals("ignored") && !snapshot);
+            assertTrue(stays ? first > 0 : first == 0, (snapshot ? "snapshot: " : "change: ") + first);
+            // The entry of an endpoint that has left is valid if it has a name.
+            boolean valid = malformed.contains("'s-") && malformed.contains("'left'");
+            assertEquals(valid ? 0 : snapshot ? 2 : 1, counters().getLong("list_entries_bad"));
         }
         assertEquals(1, discovery.requests.size());
     }
 
     /**
-     * A line is cut in the midst, and only empty lines follow. These say nothing behind half an object, so another
-     * watch is requested for the rest.
+     * A line ends in the middle of an object, and only empty lines follow. Those do not confirm the list there, so
+     * another watch is requested for the rest.
      */
     @Test
     void unfinishedLineIsRequestedAgain() throws Exception {
@@ -134,12 +134,12 @@
     }
 
     /**
-     * The process stands still: a line and the end of its watch wait for the same turn of the event loop. The line is
+     * The process is suspended, so a line and the end of its watch wait for the same event loop turn. The line is
      * applied or requested again.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void lineAndTheEndOfItsWatchInOneTurn(boolean reset) throws Exception {
+    void lineReadTogetherWithTheEndOfItsWatchIsNotLost(boolean reset) throws Exception {
         startWatched();
         discovery.writeLine(listLine(8, false));
         awaitListLines(1);
@@ -149,17 +149,17 @@
         discovery.closeConnection(0, reset);
         signal("CONT");
         eventually(() -> discovery.requests.size() == 2);
-        String asked = discovery.requests.get(1);
-        // A reset may cost what had not been read; then the change is asked for.
-        assertTrue(asked.contains("index=9 ") || (reset && asked.contains("index=8 ")), asked);
+        String request = discovery.requests.get(1);
+        // A reset may discard unread data; then the change is requested again.
+        assertTrue(request.contains("index=9 ") || (reset && request.contains("index=8 ")), request);
         discovery.writeLine(listLine(10, false, entry(0, "leaving")));
-        awaitListLines(asked.contains("index=9 ") ? 3 : 2);
+        awaitListLines(request.contains("index=9 ") ? 3 : 2);
         assertEquals(0, requestsPerEndpoint("t")[0]);
     }
 
     /**
-     * The process stands still; a line, and transactions on twenty connections, wait for the same turn of the event
-     * loop. The endpoint that has left gets none of them.
+     * The process is suspended, so a line and transactions on twenty connections wait for the same event loop turn. The
+     * endpoint that has left gets none of the transactions.
      */
     @Test
     void lineIsAppliedBeforeTransactionsOfTheSameTurn() throws Exception {
@@ -176,7 +176,7 @@
             clients.get(i).write(transaction("post-charge", "u" + i, 9_000));
         }
         discovery.writeLine(listLine(8, false, entry(0, "left")));
-        // Past any grace; and more than the loop's own lateness on a busy machine.
+        // Longer than any drain grace, and than the event loop lag on a busy machine.
         pause(1_100);
         signal("CONT");
         for (TestClient each : clients) {
@@ -185,45 +185,45 @@
         assertEquals(before, stubs[0].requests.size());
     }
 
-    /** An attempt waits for its connection while the list says that its endpoint drains, left, or is there again. */
+    /** An attempt waits for its connection while its endpoint drains, leaves, or is listed at another address. */
     @ParameterizedTest
-    @CsvSource({"leaving, true", "left, true", "again, true", "leaving, false", "left, false", "again, false"})
-    void endpointThatLeavesWhileAnAttemptConnectsGetsNothing(String says, boolean cancelling) throws Exception {
+    @CsvSource({"leaving, true", "left, true", "moved, true", "leaving, false", "left, false", "moved, false"})
+    void endpointThatLeavesDuringAConnectGetsNothing(String change, boolean cancelling) throws Exception {
         settings().getJsonObject("ceilings").put("cancelling", cancelling).put("dial_timeout", 8_000);
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> queue = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
                 queue.add(new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort()));
             }
-            JsonObject there = entry(0, "active").put("address", "127.0.0.1:" + full.getLocalPort());
-            initialEndpoints = new JsonArray().add(there);
+            JsonObject active = entry(0, "active").put("address", "127.0.0.1:" + full.getLocalPort());
+            initialEndpoints = new JsonArray().add(active);
             startWatched();
             TestClient client = client();
             client.write(transaction("post-charge", "t", 30_000));
             eventually(() -> counters().getLong("connects", 0L) == 1);
-            JsonObject gone = there.copy().put("status", says.equals("again") ? "left" : says);
-            discovery.writeLine(listLine(8, false, gone));
-            if (says.equals("again")) {
+            JsonObject removed = active.copy().put("status", change.equals("moved") ? "left" : change);
+            discovery.writeLine(listLine(8, false, removed));
+            if (change.equals("moved")) {
                 // Under the same name, at another address.
                 discovery.writeLine(listLine(9, false, entry(0, "active")));
             }
             discovery.writeLine(listLine(10, false, entry(1, "active")));
-            awaitListLines(says.equals("again") ? 3 : 2);
+            awaitListLines(change.equals("moved") ? 3 : 2);
             for (Socket each : queue) {
                 each.close();
                 full.accept().close();
             }
-            try (Socket up = full.accept()) {
-                up.setSoTimeout(1_000);
-                assertEquals(-1, up.getInputStream().read(), "written to an endpoint that was known to be gone");
+            try (Socket established = full.accept()) {
+                established.setSoTimeout(1_000);
+                assertEquals(-1, established.getInputStream().read(), "sent to an endpoint that was no longer listed");
             } catch (SocketTimeoutException e) {
-                throw new AssertionError("kept open to an endpoint that is gone", e);
+                throw new AssertionError("connection kept open to an endpoint that is no longer listed", e);
             }
-            assertTrue(client.read().startsWith("HTTP/1.1 200 "), "never sent, so it goes elsewhere");
+            assertTrue(client.read().startsWith("HTTP/1.1 200 "), "unsent attempt not retried at the other endpoint");
         }
     }
 
-    private boolean tries(int endpoint) {
+    private boolean receivesNothing(int endpoint) {
         try {
             return requestsPerEndpoint("x" + System.nanoTime())[endpoint] == 0;
         } catch (Exception e) {
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointWatchIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointWatchIT.java
@@ -18,25 +18,25 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Watches of the endpoint list that go quiet, wait, are rejected, or move. */
+/** Watches of the endpoint list that fall silent, are delayed or rejected, or move to another address. */
 class EndpointWatchIT extends EndpointListFixture {
     /**
-     * A watch falls silent. All counts as notified by the new watch 6 s after the last word of the old one, and the
-     * grace for drains is short: so another is opened beside it first.
+     * A watch falls silent. 6 s after its last data all changes count as notified by the new watch, and the drain grace
+     * is short. Therefore the new watch is opened before the old one is closed.
      */
     @Test
-    void quietWatchIsReplacedBeforeItIsGivenUp() throws Exception {
+    void silentWatchIsReplacedBeforeItIsClosed() throws Exception {
         startWatched();
         discovery.writeLine(listLine(8, false, entry(0, "active")));
         awaitListLines(1);
         long last = System.nanoTime();
         eventually(() -> discovery.requests.size() == 2);
-        long quiet = (System.nanoTime() - last) / 1_000_000;
-        assertTrue(quiet > 2_200 && quiet < 4_000, "after " + quiet + " ms");
+        long quietMillis = (System.nanoTime() - last) / 1_000_000;
+        assertTrue(quietMillis > 2_200 && quietMillis < 4_000, "after " + quietMillis + " ms");
         assertTrue(
                 discovery.requests.get(1).startsWith("GET /catalog/members?stream=1&index=8 "),
                 discovery.requests.get(1));
-        // The old one was only late: what it says counts as long as the new one has said nothing.
+        // The old watch was only late. Its lines are applied as long as the new one has sent nothing.
         discovery.write(0, listLine(9, false, entry(1, "leaving")) + "\n");
         awaitListLines(2);
         assertEquals(0, requestsPerEndpoint("t")[1]);
@@ -51,14 +51,14 @@
         assertEquals(1, counters().getJsonObject("connections_ended").getLong("watch:silent"));
     }
 
-    /** While the watch beside it is rejected the quiet one stays, until its time is up. */
+    /** While its replacement is rejected, a silent watch is kept until its time limit. */
     @Test
-    void quietWatchStaysWhileDiscoveryRejectsCalls() throws Exception {
+    void silentWatchIsKeptWhileDiscoveryRejectsRequests() throws Exception {
         startWatched();
         discovery.writeLine(listLine(8, false));
         awaitListLines(1);
         discovery.responder = r -> response(503, "", "");
-        // Two seconds before the quiet one is given up.
+        // Two seconds before the silent watch is closed.
         eventually(() -> discovery.requests.size() >= 2);
         discovery.write(0, listLine(9, false, entry(0, "leaving")) + "\n");
         awaitListLines(2);
@@ -70,25 +70,25 @@
     }
 
     /**
-     * A call whose turn does not come is made anew beside it, well within the 6 s after which what it misses counts as
-     * notified.
+     * A watch request that gets no response is repeated in parallel, well within the 6 s after which changes that it
+     * misses count as notified.
      */
     @Test
-    void unansweredCallIsRepeatedBesideIt() throws Exception {
+    void watchRequestWithoutAResponseIsRepeatedInParallel() throws Exception {
         start();
         eventually(() -> discovery.requests.size() == 1);
-        long asked = System.nanoTime();
+        long sent = System.nanoTime();
         eventually(() -> discovery.requests.size() == 2);
-        long took = (System.nanoTime() - asked) / 1_000_000;
-        assertTrue(took > 2_000 && took < 4_000, "after " + took + " ms");
+        long delayMillis = (System.nanoTime() - sent) / 1_000_000;
+        assertTrue(delayMillis > 2_000 && delayMillis < 4_000, "after " + delayMillis + " ms");
         discovery.writeLine(listLine(8, false, entry(0, "leaving")));
         awaitListLines(1);
         assertEquals(0, requestsPerEndpoint("t")[0]);
     }
 
     /**
-     * Discovery is down, and idle clients take all that clients may: none of that is taken from what discovery needs.
-     * The process can hold no more descriptors than its settings say.
+     * Discovery is down, and idle clients hold all descriptors for clients. They take none of those that discovery
+     * needs. The process can open no more descriptors than its settings allow.
      */
     @Test
     void idleClientsDoNotTakeTheDescriptorOfTheWatch() throws Exception {
@@ -100,14 +100,14 @@
         discovery.responder = r -> response(503, "", "");
         discovery.closeConnection(0, true);
         eventually(() -> discovery.requests.size() >= 2);
-        // So many that others wait for whatever descriptor is free, for 20 s.
+        // So many that clients wait for any free descriptor for 20 s.
         List<TestClient> idle = new ArrayList<>();
         for (int i = 0; i < 10 * sockets; i++) {
             idle.add(client());
         }
         discovery.responder = r -> HANG;
         int before = discovery.requests.size();
-        // 2.75 s at the most, and a second for a busy machine.
+        // At most 2.75 s, and one second for a busy machine.
         within(3_750, () -> discovery.requests.size() > before);
         discovery.writeLine(listLine(9, false, entry(0, "leaving")));
         for (TestClient each : idle.subList(idle.size() / 10, idle.size())) {
@@ -117,38 +117,41 @@
         assertEquals(0, requestsPerEndpointUnderConnectionFlood("t")[0]);
     }
 
-    /** Discovery moves while the next watch waits for its time. That watch is not opened where discovery was before. */
+    /** The address of discovery changes while the next watch is delayed. It is not opened at the old address. */
     @Test
-    void waitingWatchIsNotOpenedAtTheOldAddress() throws Exception {
-        StubDiscovery elsewhere = new StubDiscovery(r -> HANG);
-        closeables.add(elsewhere);
+    void delayedWatchIsNotOpenedAtTheOldAddress() throws Exception {
+        StubDiscovery newDiscovery = new StubDiscovery(r -> HANG);
+        closeables.add(newDiscovery);
         discovery.responder =
                 r -> response(200, "Connection: close\r\n", listLine(discovery.requests.size() + 7, false) + "\n");
         startAndAwaitHealthy();
         eventually(() -> discovery.requests.size() > 0);
         Path file = dir.resolve("config.json");
-        JsonObject moved = new JsonObject(Files.readString(file)).put("discovery", "127.0.0.1:" + elsewhere.port());
-        // Right behind an end: the next begin is a second away.
-        int asked = discovery.requests.size();
-        eventually(() -> discovery.requests.size() > asked);
+        JsonObject moved = new JsonObject(Files.readString(file)).put("discovery", "127.0.0.1:" + newDiscovery.port());
+        // Directly after the end of a watch, when the next one is a second away.
+        int requested = discovery.requests.size();
+        eventually(() -> discovery.requests.size() > requested);
         Files.writeString(file, moved.encode());
         signal("HUP");
-        eventually(() -> elsewhere.requests.size() == 1);
+        eventually(() -> newDiscovery.requests.size() == 1);
         int before = discovery.requests.size();
-        elsewhere.writeLine(listLine(20, false, entry(0, "leaving")));
+        newDiscovery.writeLine(listLine(20, false, entry(0, "leaving")));
         pause(1_500);
         assertEquals(before, discovery.requests.size());
-        assertEquals(1, elsewhere.requests.size());
+        assertEquals(1, newDiscovery.requests.size());
         assertEquals(0, requestsPerEndpoint("t")[0]);
     }
 
-    /** Lists that are pushed count whether a watch is open or not: it is open again within a tenth of any grace. */
+    /**
+     * Changes of a pushed list count as notified whether or not a watch is open. The watch is reopened within a tenth
+     * of any drain grace.
+     */
     @Test
-    void pushedListIsWatchedAgainAtOnce() throws Exception {
+    void watchOfAPushedListIsReopenedImmediately() throws Exception {
         useLongTimeouts();
         settings().put("membership_mode", "pushed");
         discovery.responder = r -> HANG;
-        List<Long> after = new ArrayList<>();
+        List<Long> delaysMillis = new ArrayList<>();
         start();
         eventually(() -> discovery.requests.size() == 1);
         discovery.writeLine(listLine(8, true, entry(0, "active"), entry(1, "active")));
@@ -158,32 +161,32 @@
             long end = System.nanoTime();
             discovery.closeConnection(i, i % 2 == 0);
             eventually(() -> discovery.requests.size() == watch + 2);
-            after.add((System.nanoTime() - end) / 1_000_000);
+            delaysMillis.add((System.nanoTime() - end) / 1_000_000);
             discovery.writeLine(listLine(9 + i, false, entry(i % 2, "leaving"), entry(1 - i % 2, "active")));
             awaitListLines(2 + i);
             assertEquals(0, requestsPerEndpoint("t" + i)[i % 2]);
         }
-        after.sort(null);
-        // 10 ms and a turn; once a second while it went by the back-off of lists that are asked for.
-        assertTrue(after.get(2) < 200, "after " + after + " ms");
+        delaysMillis.sort(null);
+        // 10 ms and an event loop turn. With the backoff of polled lists it would be a second.
+        assertTrue(delaysMillis.get(2) < 200, "after " + delaysMillis + " ms");
     }
 
-    /** A new process is held to the agent's list from its first moment, so it takes nothing before that has come. */
+    /** A new process is bound to the agent's list from its start, so it accepts nothing before it has the list. */
     @Test
-    void pushedListComesBeforeTheFirstTransaction() throws Exception {
+    void pushedListIsAwaitedBeforeTheFirstTransaction() throws Exception {
         settings().put("membership_mode", "pushed");
         start();
         eventually(() -> discovery.requests.size() == 1);
         assertNotEquals(200, health());
-        assertThrows(IOException.class, () -> new TestClient(port), "took a connection before the list had come");
+        assertThrows(IOException.class, () -> new TestClient(port), "accepted a connection before the list arrived");
         discovery.writeLine(listLine(8, false, entry(0, "leaving")));
         eventually(() -> health() == 200);
         assertEquals(0, requestsPerEndpoint("t")[0]);
     }
 
-    /** An agent that says nothing holds up a start for two seconds. */
+    /** An agent that sends nothing delays the startup by two seconds. */
     @Test
-    void silentAgentDoesNotBlockTheStart() throws Exception {
+    void silentAgentDoesNotBlockStartup() throws Exception {
         settings().put("membership_mode", "pushed");
         startAndAwaitHealthy();
         assertTrue(requestsPerEndpoint("t")[0] > 0);
