--- a/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientDisconnectIT.java
@@ -109,15 +109,15 @@
     void attemptIsNotRetriedAfterADisconnect(boolean cancelling, String outcome) throws Exception {
         configure(cancelling);
         Gate gate = new Gate();
-        Function<String, String> answers = r -> {
+        Function<String, String> responder = r -> {
             if (!"t".equals(header(r, "X-Trace-Id"))) {
                 return response(200, "", "good");
             }
             gate.awaitOpen();
             return outcome.equals("closed") ? CLOSE : response(503, "X-Never-Ran: 1\r\n", "");
         };
-        StubEndpoint first = endpoint(answers);
-        StubEndpoint second = endpoint(answers);
+        StubEndpoint first = endpoint(responder);
+        StubEndpoint second = endpoint(responder);
         startAndAwaitHealthy();
         TestClient client = client();
         client.write(transaction("quote", "t", 30_000));
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointListIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointListIT.java
@@ -82,15 +82,15 @@
     @ParameterizedTest
     @CsvSource(
             value = {
-                "{'name':'s-0','status':'left','address':7}|gone",
-                "{'name':'s-0','status':'leaving','address':null}|gone",
-                "{'name':'s-0','status':'leaving','zone':[]}|gone",
-                "{'name':'s-0','status':'active','address':'nowhere'}|stays",
-                "{'name':'s-0','status':'active','address':'ADDRESS','weight':'heavy'}|stays",
-                "{'name':'s-0','status':'active','address':'ADDRESS','weight':-1}|stays",
-                "{'name':'s-0','status':'active','address':'ADDRESS','since_ms':'then'}|stays",
-                "{'name':7,'status':'leaving','address':'ADDRESS'}|gone",
-                "{'name':7,'status':'active','address':'ADDRESS'}|stays",
+                "{'name':'s-0','status':'left','address':7}|removed",
+                "{'name':'s-0','status':'leaving','address':null}|removed",
+                "{'name':'s-0','status':'leaving','zone':[]}|removed",
+                "{'name':'s-0','status':'active','address':'nowhere'}|kept",
+                "{'name':'s-0','status':'active','address':'ADDRESS','weight':'heavy'}|kept",
+                "{'name':'s-0','status':'active','address':'ADDRESS','weight':-1}|kept",
+                "{'name':'s-0','status':'active','address':'ADDRESS','since_ms':'then'}|kept",
+                "{'name':7,'status':'leaving','address':'ADDRESS'}|removed",
+                "{'name':7,'status':'active','address':'ADDRESS'}|kept",
                 "{'name':'s-9','status':'left','address':7}|ignored",
                 "{'name':null,'status':'left'}|ignored",
                 "7|ignored",
@@ -109,8 +109,8 @@
             discovery.writeLine(line.replace("[{", "[" + entry + ",{"));
             awaitListLines(snapshot ? 4 : 2);
             int first = requestsPerEndpoint("t" + snapshot)[0];
-            boolean stays = expected.equals("stays") || (expected.equals("ignored") && !snapshot);
-            assertTrue(stays ? first > 0 : first == 0, (snapshot ? "snapshot: " : "change: ") + first);
+            boolean kept = expected.equals("kept") || (expected.equals("ignored") && !snapshot);
+            assertTrue(kept ? first > 0 : first == 0, (snapshot ? "snapshot: " : "change: ") + first);
             // The entry of an endpoint that has left is valid if it has a name.
             boolean valid = malformed.contains("'s-") && malformed.contains("'left'");
             assertEquals(valid ? 0 : snapshot ? 2 : 1, counters().getLong("list_entries_bad"));
--- a/sidecar/src/test/java/trestlegrade/integration/SidecarFixture.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SidecarFixture.java
@@ -188,8 +188,8 @@
     }
 
     /** Creates an endpoint. The initial list contains it unless the test sets {@link #initialEndpoints}. */
-    StubEndpoint endpoint(Function<String, String> answers) {
-        StubEndpoint stub = new StubEndpoint(answers);
+    StubEndpoint endpoint(Function<String, String> responder) {
+        StubEndpoint stub = new StubEndpoint(responder);
         endpoints.add(stub);
         closeables.add(stub);
         return stub;
