--- a/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
 import static trestlegrade.integration.HttpText.message;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -30,25 +30,25 @@
 import trestlegrade.inbound.HeaderRules;
 import trestlegrade.inbound.InboundHttpServer;
 
-/** Clients that write slowly, and such as send more than is read when their answer ends the connection. */
+/** Clients that write or read slowly, or that still send when their connection closes after a response. */
 class ClientConnectionsIT extends SidecarFixture {
 
     /**
-     * Its connection has stood idle for nearly as long as it may; the process stands still, and when it goes on the end
-     * of that time and the next transaction wait for the same turn.
+     * The process is suspended when connections have been idle for almost the idle limit. When it resumes, the idle
+     * timeout and the next transactions wait for the same event loop turn.
      */
     @Test
-    void whatComesInTheTurnInWhichItsConnectionWouldBeEnded() throws Exception {
-        endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
-        patient();
-        serve();
+    void requestInTheSameTurnAsTheIdleTimeoutIsServed() throws Exception {
+        endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
+        useLongTimeouts();
+        startAndAwaitHealthy();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
-            assertTrue(clients.get(i).ask(transaction("quote", "t" + i, 30_000)).endsWith("t" + i));
+            assertTrue(clients.get(i).exchange(transaction("quote", "t" + i, 30_000)).endsWith("t" + i));
         }
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         pause(2_500);
         for (int i = 0; i < 20; i++) {
             clients.get(i).write(transaction("post-charge", "u" + i, 30_000));
@@ -61,40 +61,41 @@
     }
 
     /**
-     * The one before it takes a third of its time, and no endpoint answers it: its time counts from when it was sent.
+     * A pipelined request waits a third of its deadline for the one before it, and no endpoint responds to it. Its
+     * deadline counts from when it was sent.
      */
     @Test
-    void oneSentAheadIsAnsweredInItsOwnTime() throws Exception {
+    void deadlineOfAPipelinedRequestCountsFromItsArrival() throws Exception {
         endpoint(r -> {
             if (!"a".equals(header(r, "X-Trace-Id"))) {
                 return HANG;
             }
             pause(2_000);
-            return answer(200, "", "good");
+            return response(200, "", "good");
         });
-        patient();
-        serve();
+        useLongTimeouts();
+        startAndAwaitHealthy();
         TestClient client = client();
         long sent = System.nanoTime();
         client.write(transaction("post-charge", "a", 6_000) + transaction("post-charge", "b", 6_000));
         assertEquals("200", client.read().substring(9, 12));
         assertEquals("502", client.read().substring(9, 12));
-        long took = (System.nanoTime() - sent) / 1_000_000;
-        // A second is kept for a loop that stands still; counted from the first answer it would be 7 s.
-        assertTrue(took < 6_000, "after " + took + " ms");
+        long durationMillis = (System.nanoTime() - sent) / 1_000_000;
+        // One second is reserved for an event loop stall. Counted from the first response it would be 7 s.
+        assertTrue(durationMillis < 6_000, "after " + durationMillis + " ms");
     }
 
     /**
-     * It sends on, and reads nothing for longer than a connection may stand idle: more than the kernel holds for it
-     * waits here. Then it reads, also while the program ends: each has its answer, and that is whole.
+     * A client pipelines requests and reads nothing for longer than the idle limit, so more waits in the sidecar than
+     * fits into the kernel's buffers. Then it reads, possibly during shutdown: each request gets a complete response.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void oneThatReadsItsAnswersLate(boolean ends) throws Exception {
+    void clientThatReadsLateGetsAllResponses(boolean duringShutdown) throws Exception {
         String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
-        endpoint(r -> answer(200, "", body));
-        patient();
-        serve();
+        endpoint(r -> response(200, "", body));
+        useLongTimeouts();
+        startAndAwaitHealthy();
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(4_096);
             socket.setSoTimeout(10_000);
@@ -104,7 +105,7 @@
                         .write(transaction("quote", "t" + i, 39_000).getBytes(StandardCharsets.ISO_8859_1));
             }
             pause(3_000);
-            if (ends) {
+            if (duringShutdown) {
                 signal("TERM");
                 eventually(() -> log().contains("serve code=draining"));
                 pause(1_000);
@@ -113,22 +114,22 @@
             int committed = 0;
             for (int i = 0; i < 150; i++) {
                 String got = message(in);
-                boolean whole = got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + body);
+                boolean complete = got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + body);
                 assertTrue(
-                        whole || (ends && got.startsWith("HTTP/1.1 503 ")),
+                        complete || (duringShutdown && got.startsWith("HTTP/1.1 503 ")),
                         i + ": " + got.length() + " bytes, " + got.substring(0, Math.min(100, got.length())));
-                committed += whole ? 1 : 0;
+                committed += complete ? 1 : 0;
             }
             assertTrue(committed > 0, "none committed");
         }
     }
 
-    /** It has longer than any transaction may wait, and no more than that. */
+    /** A client may take as long to read as the longest deadline of a transaction, and no longer. */
     @Test
-    void oneThatNeverReadsItsAnswersIsEnded() throws Exception {
+    void connectionOfAClientThatNeverReadsIsClosed() throws Exception {
         String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
-        endpoint(r -> answer(200, "", body));
-        serve();
+        endpoint(r -> response(200, "", body));
+        startAndAwaitHealthy();
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(4_096);
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
@@ -140,13 +141,13 @@
         }
     }
 
-    /** They send on and read nothing: what is held for them has a bound, and others are served. */
+    /** Clients pipeline requests and read nothing. The memory held for them is bounded, and others are served. */
     @Test
-    void thoseThatReadNothing() throws Exception {
+    void clientsThatNeverReadDoNotExhaustTheMemory() throws Exception {
         String body = "x".repeat(InboundHttpServer.MAX_BODY_BYTES);
-        endpoint(r -> answer(200, "", header(r, "X-Trace-Id").startsWith("t") ? body : "good"));
-        patient();
-        serve();
+        endpoint(r -> response(200, "", header(r, "X-Trace-Id").startsWith("t") ? body : "good"));
+        useLongTimeouts();
+        startAndAwaitHealthy();
         for (int i = 0; i < 30; i++) {
             TestClient client = client();
             for (int j = 0; j < 150; j++) {
@@ -154,22 +155,22 @@
             }
         }
         for (int i = 0; i < 200; i++) {
-            assertTrue(client().ask(transaction("quote", "u" + i, 30_000)).startsWith("HTTP/1.1 200 "));
+            assertTrue(client().exchange(transaction("quote", "u" + i, 30_000)).startsWith("HTTP/1.1 200 "));
         }
         assertTrue(process.isAlive());
     }
 
-    /** Never silent for as long as a connection may stand, but longer as a whole. */
+    /** A request takes longer than the idle limit in total, but never pauses for that long. */
     @ParameterizedTest
     @CsvSource({"head, false", "body, false", "head, true", "body, true"})
-    void oneThatWritesSlowlyIsServed(String part, boolean kept) throws Exception {
-        endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
-        patient();
-        serve();
+    void requestThatArrivesSlowlyIsServed(String part, boolean reused) throws Exception {
+        endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
+        useLongTimeouts();
+        startAndAwaitHealthy();
         TestClient client = client();
-        if (kept) {
-            client.ask(transaction("quote", "before", 9_000));
-            // Most of what a connection may stand idle is over when the next one begins.
+        if (reused) {
+            client.exchange(transaction("quote", "before", 9_000));
+            // Most of the idle limit has passed when the next request begins.
             pause(1_500);
         }
         String text = transaction("post-charge", "t", 9_000)
@@ -180,17 +181,18 @@
             pause(500);
             client.write(text.substring(from + i, from + i + 1));
         }
-        String got = client.ask(text.substring(from + 6));
+        String got = client.exchange(text.substring(from + 6));
         assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\nt"), got);
     }
 
     /**
-     * However steadily, what takes longer than any transaction may wait is ended, and before that when nothing comes.
+     * A request that takes longer than the longest deadline of a transaction is aborted, however steadily it arrives. A
+     * request that stops arriving is aborted earlier.
      */
     @ParameterizedTest
     @CsvSource({"head, ''", "body, 408"})
-    void oneThatDripsForEverIsEnded(String part, String status) throws Exception {
-        endpoint(r -> answer(200, "", "good"));
+    void requestThatArrivesTooSlowlyIsAborted(String part, String status) throws Exception {
+        endpoint(r -> response(200, "", "good"));
         settings()
                 .put(
                         "profiles",
@@ -198,69 +200,69 @@
                                 .getJsonArray("profiles")
                                 .encode()
                                 .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":3500")));
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         String text = transaction("post-charge", "t", 3_000)
                 .replace("Content-Length: 2\r\n\r\nok", "Content-Length: 1000\r\n\r\n" + "x".repeat(1_000));
         int from = part.equals("head") ? 3 : text.length() - 990;
         client.write(text.substring(0, from));
         long start = System.nanoTime();
-        Thread drip = new Thread(() -> {
+        Thread slowWriter = new Thread(() -> {
             try {
                 for (int i = 0; i < 100; i++) {
                     pause(100);
                     client.write(part.equals("head") ? "x" : text.substring(from + i, from + i + 1));
                 }
             } catch (IOException e) {
-                // Ended, as it should be.
+                // The sidecar closed the connection, as expected.
             }
         });
-        drip.start();
+        slowWriter.start();
         String got;
         try {
             got = client.read();
         } catch (IOException e) {
-            // Half a head has no answer, and what it goes on to send meets a closed connection.
+            // An incomplete head gets no response, and the client's further writes meet a closed connection.
             got = "";
         }
-        long took = (System.nanoTime() - start) / 1_000_000;
+        long durationMillis = (System.nanoTime() - start) / 1_000_000;
         assertEquals(status, got.isEmpty() ? "" : got.substring(9, 12));
-        assertTrue(took > 3_000 && took < 6_000, "after " + took + " ms");
-        drip.join();
+        assertTrue(durationMillis > 3_000 && durationMillis < 6_000, "after " + durationMillis + " ms");
+        slowWriter.join();
     }
 
     /**
-     * In a crowd each connection ends with its answer. More of the client's waits for the turn in which that is given,
-     * and the client has read nothing of it: it gets the whole answer. What it sent is answered as whole if it was read
-     * before, else it goes nowhere.
+     * During a connection flood each connection is closed after its response. The next request waits to be read in the
+     * turn in which the response is written, and the client has not read any of it. The client gets the complete
+     * response. The next request gets one as well if it was read before, else it is not forwarded.
      */
     @Test
-    void anAnswerIsWholeThoughMoreHasComeBehindItsTransaction() throws Exception {
+    void responseIsCompleteIfUnreadInputIsPendingAtTheClose() throws Exception {
         Map<String, Gate> gates = new ConcurrentHashMap<>();
         String body = "x".repeat(60_000);
         StubEndpoint endpoint = endpoint(r -> {
             String trace = header(r, "X-Trace-Id");
             if (gates.containsKey(trace)) {
-                gates.get(trace).pass();
+                gates.get(trace).awaitOpen();
             }
-            return answer(200, "", body);
+            return response(200, "", body);
         });
         sockets = 64;
-        patient();
-        serve();
+        useLongTimeouts();
+        startAndAwaitHealthy();
         for (int i = 0; i < DescriptorBudget.forClients(sockets).limit() / 2; i++) {
-            client().ask(transaction("quote", "crowd" + i, 9_000));
+            client().exchange(transaction("quote", "flood" + i, 9_000));
         }
         for (int i = 0; i < 12; i++) {
             String trace = "t" + i;
             gates.put(trace, new Gate());
             try (Socket socket = connectWithSmallBuffer()) {
                 socket.getOutputStream().write(bytes(transaction("quote", trace, 9_000)));
-                eventually(() -> endpoint.saw(trace));
+                eventually(() -> endpoint.received(trace));
                 signal("STOP");
-                eventually(this::stopped);
+                eventually(this::allThreadsStopped);
                 gates.get(trace).open();
-                socket.getOutputStream().write(bytes(transaction("quote", "behind" + i, 9_000)));
+                socket.getOutputStream().write(bytes(transaction("quote", "next" + i, 9_000)));
                 pause(50);
                 signal("CONT");
                 pause(50);
@@ -268,7 +270,7 @@
                 String got = message(in);
                 assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + body), i + ": " + got.length());
                 String next = message(in);
-                assertEquals(!next.isEmpty(), endpoint.saw("behind" + i));
+                assertEquals(!next.isEmpty(), endpoint.received("next" + i));
                 assertTrue(next.isEmpty() || (next.startsWith("HTTP/1.1 200 ") && next.endsWith("\r\n\r\n" + body)));
                 assertEquals(-1, in.read());
             }
@@ -284,13 +286,13 @@
     }
 
     /**
-     * Its answer is there at its head; it reads that only once it has written for a while, and is not cut off
-     * meanwhile.
+     * The response is sent after the request head. The client reads it only after it has sent a part of the body
+     * slowly, and its connection is not closed meanwhile.
      */
     @Test
-    void oneThatWritesTooMuchSlowlyIsAnswered() throws Exception {
-        endpoint(r -> answer(200, "", "good"));
-        serve();
+    void slowlySentOversizedBodyIsRejectedWithAResponse() throws Exception {
+        endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         TestClient client = client();
         client.write("POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\nContent-Length: 70000\r\n\r\n");
         for (int i = 0; i < 6; i++) {
@@ -301,12 +303,12 @@
         assertEquals("", client.read());
     }
 
-    /** What cannot be read is answered at once; the rest, still being sent, must not take that answer along. */
+    /** A malformed request is rejected at once. The rest of it, still being sent, must not cut off the response. */
     @ParameterizedTest
     @ValueSource(strings = {"two lengths", "no length", "long head"})
-    void whatCannotBeReadIsAnsweredWholeWhileItsRestIsBeingSent(String fault) throws Exception {
-        endpoint(r -> answer(200, "", "good"));
-        serve();
+    void malformedRequestGetsACompleteResponseWhileTheRestIsSent(String fault) throws Exception {
+        endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
         String head = "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t\r\n"
                 + switch (fault) {
                     case "two lengths" -> "Content-Length: 4000000\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -314,7 +316,7 @@
                     default -> "A: " + "x".repeat(20_000) + "\r\n\r\n";
                 };
         for (int i = 0; i < 5; i++) {
-            String got = client().ask(head + "x".repeat(4_000_000));
+            String got = client().exchange(head + "x".repeat(4_000_000));
             assertTrue(
                     got.startsWith(fault.equals("long head") ? "HTTP/1.1 431 " : "HTTP/1.1 400 ")
                             && got.endsWith("\r\n\r\n"),
@@ -326,68 +328,68 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** A crowd that says nothing holds all descriptors: whoever comes behind it is answered in its own time. */
+    /** A flood of silent connections holds all descriptors. The next client gets a response before its deadline. */
     @ParameterizedTest
     @CsvSource({"60, false", "60, true", "150, false"})
-    void aSilentCrowdMakesRoomForThoseThatSend(int crowd, boolean behindAStall) throws Exception {
+    void silentConnectionsAreEvictedForClientsThatSend(int silent, boolean afterAStall) throws Exception {
         sockets = 64;
-        endpoint(r -> answer(200, "", "good"));
-        serve();
-        if (behindAStall) {
+        endpoint(r -> response(200, "", "good"));
+        startAndAwaitHealthy();
+        if (afterAStall) {
             signal("STOP");
             pause(3_000);
             signal("CONT");
             pause(300);
         }
-        for (int i = 0; i < crowd; i++) {
+        for (int i = 0; i < silent; i++) {
             client();
         }
         TestClient next = client();
         Stopwatch watch = new Stopwatch();
-        String got = next.ask(transaction("post-charge", "t", 2_900));
+        String got = next.exchange(transaction("post-charge", "t", 2_900));
         assertTrue(got.startsWith("HTTP/1.1 200 "), "after " + watch.milliseconds() + " ms: " + got);
         assertTrue(watch.milliseconds() < 2_900, "after " + watch.milliseconds() + " ms");
     }
 
     /**
-     * Clients in the midst of their bodies hold all descriptors for two seconds, or a silent crowd came while the
-     * process stood still; one waits for that to be let in.
+     * Clients that are sending their bodies hold all descriptors for two seconds, or a flood of silent connections
+     * arrives while the process is suspended. The next client waits to be accepted meanwhile.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatWaitedForADescriptorIsToldNoMoreTimeThanIsLeft(boolean stopped) throws Exception {
+    void forwardedDeadlineExcludesTheWaitForADescriptor(boolean suspended) throws Exception {
         sockets = 64;
-        long[] seenAt = {0};
+        long[] receivedAt = {0};
         StubEndpoint endpoint = endpoint(r -> {
-            seenAt[0] = System.nanoTime();
-            return answer(200, "", "good");
+            receivedAt[0] = System.nanoTime();
+            return response(200, "", "good");
         });
-        serve();
-        if (stopped) {
+        startAndAwaitHealthy();
+        if (suspended) {
             signal("STOP");
         }
         for (int i = 0; i < 30; i++) {
             client().write(
-                            stopped
+                            suspended
                                     ? ""
                                     : "POST /post-charge HTTP/1.1\r\nHost: h\r\nX-Trace-Id: b" + i
                                             + "\r\nContent-Length: 9\r\n\r\nb");
         }
         TestClient next = client();
-        long asked = System.nanoTime();
+        long sent = System.nanoTime();
         next.write(transaction("post-charge", "t", 2_900));
-        if (stopped) {
+        if (suspended) {
             pause(1_500);
             signal("CONT");
         }
         String got = next.read();
         if (got.startsWith("HTTP/1.1 200 ")) {
-            long told = HeaderRules.timeoutTicks(header(endpoint.seen.get(0), "X-Expires-In")) / 10;
-            long left = 2_900 - (seenAt[0] - asked) / 1_000_000;
-            assertTrue(told <= left + 150, "told " + told + " ms with " + left + " ms left");
+            long forwarded = HeaderRules.timeoutTicks(header(endpoint.requests.get(0), "X-Expires-In")) / 10;
+            long left = 2_900 - (receivedAt[0] - sent) / 1_000_000;
+            assertTrue(forwarded <= left + 150, "forwarded " + forwarded + " ms with " + left + " ms left");
         } else {
             assertTrue(got.startsWith("HTTP/1.1 503 "), got);
         }
-        assertTrue(System.nanoTime() - asked < 2_900_000_000L, "answered behind its time");
+        assertTrue(System.nanoTime() - sent < 2_900_000_000L, "response after the deadline");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointListIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointListIT.java
@@ -20,29 +20,29 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lines of the endpoint list that are cut, unusable, or meet what is being sent. */
+/** Lines of the endpoint list that are split, malformed, or arrive together with requests. */
 class EndpointListIT extends EndpointListFixture {
     /**
-     * Discovery writes its list over several lines, and the network cuts them anywhere. A reader that takes lines or
+     * Discovery writes its list over several lines, and the network splits them anywhere. A reader that takes lines or
      * packets for objects misses a drain.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 100_000})
-    void indentedListsAreReadWhereverTheyAreCut(int length) throws Exception {
-        watched();
-        String text = new JsonObject(list(8, true, entry(0, "active"), entry(1, "active"))).encodePrettily() + "\n"
-                + new JsonObject(list(9, false, entry(0, "leaving"))).encodePrettily();
+    void indentedListsAreReadHoweverTheyAreSplit(int length) throws Exception {
+        startWatched();
+        String text = new JsonObject(listLine(8, true, entry(0, "active"), entry(1, "active"))).encodePrettily() + "\n"
+                + new JsonObject(listLine(9, false, entry(0, "leaving"))).encodePrettily();
         for (int i = 0; i < text.length(); i += length) {
             discovery.write(0, text.substring(i, Math.min(text.length(), i + length)));
         }
-        told(2);
-        assertEquals(0, shares("t")[0]);
-        assertEquals(1, discovery.seen.size());
+        awaitListLines(2);
+        assertEquals(0, requestsPerEndpoint("t")[0]);
+        assertEquals(1, discovery.requests.size());
     }
 
     /**
-     * A line of the list is malformed. The version held moves only with what was applied, so the line is requested
-     * again.
+     * A line of the list is malformed. The version held advances only with changes that were applied, so the line is
+     * requested again.
      */
     @ParameterizedTest
     @CsvSource(
@@ -58,172 +58,174 @@
                 "{'index':8,'endpoints':[}|0"
             },
             delimiter = '|')
-    void unusableLineIsRequestedAgain(String line, int applied) throws Exception {
-        watched();
-        discovery.line(
+    void malformedLineIsRequestedAgain(String line, int applied) throws Exception {
+        startWatched();
+        discovery.writeLine(
                 line.replace('\'', '"').replace("LEAVING", entry(0, "leaving").encode()));
-        eventually(() -> discovery.seen.size() == 2);
-        assertTrue(discovery.seen.get(1).startsWith("GET /catalog/members?stream=1&index=7 "), discovery.seen.get(1));
+        eventually(() -> discovery.requests.size() == 2);
+        assertTrue(
+                discovery.requests.get(1).startsWith("GET /catalog/members?stream=1&index=7 "),
+                discovery.requests.get(1));
         assertEquals(1, counters().getLong("list_lines_bad"));
         assertTrue(log().contains("list code=bad-line cause="));
-        int[] shares = shares("t");
-        assertTrue(applied == 1 ? shares[0] == 0 : shares[0] > 0 && shares[1] > 0, shares[0] + " and " + shares[1]);
-        discovery.line(list(8, false, entry(0, "leaving")));
-        eventually(() -> tries(0));
-        assertEquals(0, shares("u")[0]);
+        int[] counts = requestsPerEndpoint("t");
+        assertTrue(applied == 1 ? counts[0] == 0 : counts[0] > 0 && counts[1] > 0, counts[0] + " and " + counts[1]);
+        discovery.writeLine(listLine(8, false, entry(0, "leaving")));
+        eventually(() -> receivesNothing(0));
+        assertEquals(0, requestsPerEndpoint("u")[0]);
     }
 
     /**
-     * One entry of a line is malformed. What it says for sure counts, in a change and in a whole list; the other
-     * entries are as listed.
+     * One entry of a line is malformed. What it states beyond doubt is applied, in a change and in a snapshot, and so
+     * are the other entries.
      */
     @ParameterizedTest
     @CsvSource(
             value = {
-                "{'name':'s-0','status':'left','address':7}|gone",
-                "{'name':'s-0','status':'leaving','address':null}|gone",
-                "{'name':'s-0','status':'leaving','zone':[]}|gone",
-                "{'name':'s-0','status':'active','address':'nowhere'}|stays",
-                "{'name':'s-0','status':'active','address':'ADDRESS','weight':'heavy'}|stays",
-                "{'name':'s-0','status':'active','address':'ADDRESS','weight':-1}|stays",
-                "{'name':'s-0','status':'active','address':'ADDRESS','since_ms':'then'}|stays",
-                "{'name':7,'status':'leaving','address':'ADDRESS'}|gone",
-                "{'name':7,'status':'active','address':'ADDRESS'}|stays",
-                "{'name':'s-9','status':'left','address':7}|absent",
-                "{'name':null,'status':'left'}|absent",
-                "7|absent",
-                "null|absent"
+                "{'name':'s-0','status':'left','address':7}|removed",
+                "{'name':'s-0','status':'leaving','address':null}|removed",
+                "{'name':'s-0','status':'leaving','zone':[]}|removed",
+                "{'name':'s-0','status':'active','address':'nowhere'}|kept",
+                "{'name':'s-0','status':'active','address':'ADDRESS','weight':'heavy'}|kept",
+                "{'name':'s-0','status':'active','address':'ADDRESS','weight':-1}|kept",
+                "{'name':'s-0','status':'active','address':'ADDRESS','since_ms':'then'}|kept",
+                "{'name':7,'status':'leaving','address':'ADDRESS'}|removed",
+                "{'name':7,'status':'active','address':'ADDRESS'}|kept",
+                "{'name':'s-9','status':'left','address':7}|ignored",
+                "{'name':null,'status':'left'}|ignored",
+                "7|ignored",
+                "null|ignored"
             },
             delimiter = '|')
-    void unreadableEntryCountsForWhatItSaysForSure(String unreadable, String becomes) throws Exception {
-        watched();
-        String entry = unreadable
+    void malformedEntryIsAppliedAsFarAsItIsClear(String malformed, String expected) throws Exception {
+        startWatched();
+        String entry = malformed
                 .replace('\'', '"')
                 .replace("ADDRESS", entry(0, "active").getString("address"));
-        for (boolean whole : new boolean[] {false, true}) {
-            String here = list(8, true, entry(0, "active"), entry(1, "active"));
-            discovery.line(here);
-            String line = list(9, whole, entry(1, "active"));
-            discovery.line(line.replace("[{", "[" + entry + ",{"));
-            told(whole ? 4 : 2);
-            int first = shares("t" + whole)[0];
-            boolean stays = becomes.equals("stays") || (becomes.equals("absent") && !whole);
-            assertTrue(stays ? first > 0 : first == 0, (whole ? "whole: " : "change: ") + first);
-            // One that has left needs no more than its name to be read.
-            boolean readable = unreadable.contains("'s-") && unreadable.contains("'left'");
-            assertEquals(readable ? 0 : whole ? 2 : 1, counters().getLong("list_entries_bad"));
+        for (boolean snapshot : new boolean[] {false, true}) {
+            String bothActive = listLine(8, true, entry(0, "active"), entry(1, "active"));
+            discovery.writeLine(bothActive);
+            String line = listLine(9, snapshot, entry(1, "active"));
+            discovery.writeLine(line.replace("[{", "[" + entry + ",{"));
+            awaitListLines(snapshot ? 4 : 2);
+            int first = requestsPerEndpoint("t" + snapshot)[0];
+            boolean kept = expected.equals("kept") || (expected.equals("ignored") && !snapshot);
+            assertTrue(kept ? first > 0 : first == 0, (snapshot ? "snapshot: " : "change: ") + first);
+            // The entry of an endpoint that has left is valid if it has a name.
+            boolean valid = malformed.contains("'s-") && malformed.contains("'left'");
+            assertEquals(valid ? 0 : snapshot ? 2 : 1, counters().getLong("list_entries_bad"));
         }
-        assertEquals(1, discovery.seen.size());
+        assertEquals(1, discovery.requests.size());
     }
 
     /**
-     * A line is cut in the midst, and only empty lines follow. These say nothing behind half an object, so another
-     * watch is requested for the rest.
+     * A line ends in the middle of an object, and only empty lines follow. Those do not confirm the list there, so
+     * another watch is requested for the rest.
      */
     @Test
     void unfinishedLineIsRequestedAgain() throws Exception {
-        watched();
+        startWatched();
         discovery.write(0, "{\"index\":8,\"snapshot\":false,\"endpoints\":[");
-        discovery.beats = true;
-        within(5_000, () -> discovery.seen.size() == 2);
-        discovery.write(1, list(8, false, entry(0, "leaving")) + "\n");
-        told(1);
-        assertEquals(0, shares("t")[0]);
+        discovery.heartbeats = true;
+        within(5_000, () -> discovery.requests.size() == 2);
+        discovery.write(1, listLine(8, false, entry(0, "leaving")) + "\n");
+        awaitListLines(1);
+        assertEquals(0, requestsPerEndpoint("t")[0]);
     }
 
     /**
-     * The process stands still: a line and the end of its watch wait for the same turn of the event loop. The line is
+     * The process is suspended, so a line and the end of its watch wait for the same event loop turn. The line is
      * applied or requested again.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void lineAndTheEndOfItsWatchInOneTurn(boolean reset) throws Exception {
-        watched();
-        discovery.line(list(8, false));
-        told(1);
+    void lineReadTogetherWithTheEndOfItsWatchIsNotLost(boolean reset) throws Exception {
+        startWatched();
+        discovery.writeLine(listLine(8, false));
+        awaitListLines(1);
         signal("STOP");
-        eventually(this::stopped);
-        discovery.line(list(9, false, entry(0, "leaving")));
-        discovery.end(0, reset);
+        eventually(this::allThreadsStopped);
+        discovery.writeLine(listLine(9, false, entry(0, "leaving")));
+        discovery.closeConnection(0, reset);
         signal("CONT");
-        eventually(() -> discovery.seen.size() == 2);
-        String asked = discovery.seen.get(1);
-        // A reset may cost what had not been read; then the change is asked for.
-        assertTrue(asked.contains("index=9 ") || (reset && asked.contains("index=8 ")), asked);
-        discovery.line(list(10, false, entry(0, "leaving")));
-        told(asked.contains("index=9 ") ? 3 : 2);
-        assertEquals(0, shares("t")[0]);
+        eventually(() -> discovery.requests.size() == 2);
+        String request = discovery.requests.get(1);
+        // A reset may discard unread data; then the change is requested again.
+        assertTrue(request.contains("index=9 ") || (reset && request.contains("index=8 ")), request);
+        discovery.writeLine(listLine(10, false, entry(0, "leaving")));
+        awaitListLines(request.contains("index=9 ") ? 3 : 2);
+        assertEquals(0, requestsPerEndpoint("t")[0]);
     }
 
     /**
-     * The process stands still; a line, and transactions on twenty connections, wait for the same turn of the event
-     * loop. The endpoint that has left gets none of them.
+     * The process is suspended, so a line and transactions on twenty connections wait for the same event loop turn. The
+     * endpoint that has left gets none of the transactions.
      */
     @Test
     void lineIsAppliedBeforeTransactionsOfTheSameTurn() throws Exception {
-        watched();
+        startWatched();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
-            clients.get(i).ask(transaction("quote", "t" + i, 900));
+            clients.get(i).exchange(transaction("quote", "t" + i, 900));
         }
-        int before = at[0].seen.size();
+        int before = stubs[0].requests.size();
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         for (int i = 0; i < 20; i++) {
             clients.get(i).write(transaction("post-charge", "u" + i, 9_000));
         }
-        discovery.line(list(8, false, entry(0, "left")));
-        // Past any grace; and more than the loop's own lateness on a busy machine.
+        discovery.writeLine(listLine(8, false, entry(0, "left")));
+        // Longer than any drain grace, and than the event loop lag on a busy machine.
         pause(1_100);
         signal("CONT");
         for (TestClient each : clients) {
             assertTrue(each.read().startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(before, at[0].seen.size());
+        assertEquals(before, stubs[0].requests.size());
     }
 
-    /** An attempt waits for its connection while the list says that its endpoint drains, left, or is there again. */
+    /** An attempt waits for its connection while its endpoint drains, leaves, or is listed at another address. */
     @ParameterizedTest
-    @CsvSource({"leaving, true", "left, true", "again, true", "leaving, false", "left, false", "again, false"})
-    void endpointThatLeavesWhileAnAttemptConnectsGetsNothing(String says, boolean cancelling) throws Exception {
+    @CsvSource({"leaving, true", "left, true", "moved, true", "leaving, false", "left, false", "moved, false"})
+    void endpointThatLeavesDuringAConnectGetsNothing(String change, boolean cancelling) throws Exception {
         settings().getJsonObject("ceilings").put("cancelling", cancelling).put("dial_timeout", 8_000);
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> queue = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
                 queue.add(new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort()));
             }
-            JsonObject there = entry(0, "active").put("address", "127.0.0.1:" + full.getLocalPort());
-            known = new JsonArray().add(there);
-            watched();
+            JsonObject active = entry(0, "active").put("address", "127.0.0.1:" + full.getLocalPort());
+            initialEndpoints = new JsonArray().add(active);
+            startWatched();
             TestClient client = client();
             client.write(transaction("post-charge", "t", 30_000));
             eventually(() -> counters().getLong("connects", 0L) == 1);
-            JsonObject gone = there.copy().put("status", says.equals("again") ? "left" : says);
-            discovery.line(list(8, false, gone));
-            if (says.equals("again")) {
+            JsonObject removed = active.copy().put("status", change.equals("moved") ? "left" : change);
+            discovery.writeLine(listLine(8, false, removed));
+            if (change.equals("moved")) {
                 // Under the same name, at another address.
-                discovery.line(list(9, false, entry(0, "active")));
+                discovery.writeLine(listLine(9, false, entry(0, "active")));
             }
-            discovery.line(list(10, false, entry(1, "active")));
-            told(says.equals("again") ? 3 : 2);
+            discovery.writeLine(listLine(10, false, entry(1, "active")));
+            awaitListLines(change.equals("moved") ? 3 : 2);
             for (Socket each : queue) {
                 each.close();
                 full.accept().close();
             }
-            try (Socket up = full.accept()) {
-                up.setSoTimeout(1_000);
-                assertEquals(-1, up.getInputStream().read(), "written to an endpoint that was known to be gone");
+            try (Socket established = full.accept()) {
+                established.setSoTimeout(1_000);
+                assertEquals(-1, established.getInputStream().read(), "sent to an endpoint that drains or has left");
             } catch (SocketTimeoutException e) {
-                throw new AssertionError("kept open to an endpoint that is gone", e);
+                throw new AssertionError("connection kept open to an endpoint that drains or has left", e);
             }
-            assertTrue(client.read().startsWith("HTTP/1.1 200 "), "never sent, so it goes elsewhere");
+            assertTrue(client.read().startsWith("HTTP/1.1 200 "), "unsent attempt not retried at the other endpoint");
         }
     }
 
-    private boolean tries(int endpoint) {
+    private boolean receivesNothing(int endpoint) {
         try {
-            return shares("x" + System.nanoTime())[endpoint] == 0;
+            return requestsPerEndpoint("x" + System.nanoTime())[endpoint] == 0;
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
