--- a/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
@@ -24,58 +24,62 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import trestlegrade.inbound.DescriptorBudget;
 
-/** The end of the program and new settings meet what is being taken, read and answered. */
+/** SIGTERM and SIGHUP while connections are accepted, requests are read and responses are written. */
 class GracefulShutdownIT extends SidecarFixture {
     private final StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
 
-    private static JsonObject limits(JsonObject settings, long limit, long goal) {
+    private static JsonObject setDeadlines(JsonObject settings, long deadlineMillis, long latencyObjectiveMillis) {
         return settings.put(
                 "profiles",
                 new JsonArray(settings.getJsonArray("profiles")
                         .encode()
-                        .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":" + limit)
-                        .replaceAll("\"service_goal\":\\d+", "\"service_goal\":" + goal)));
+                        .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":" + deadlineMillis)
+                        .replaceAll("\"service_goal\":\\d+", "\"service_goal\":" + latencyObjectiveMillis)));
     }
 
-    private void reread(JsonObject settings) throws Exception {
+    private void reload(JsonObject settings) throws Exception {
         Path file = dir.resolve("config.json");
         Files.writeString(
                 file,
                 new JsonObject(Files.readString(file)).put("settings", settings).encode());
-        int before = log().split("code=adopted", -1).length;
+        int adoptedBefore = log().split("code=adopted", -1).length;
         signal("HUP");
-        eventually(() -> log().split("code=adopted", -1).length == before + 1);
+        eventually(() -> log().split("code=adopted", -1).length == adoptedBefore + 1);
     }
 
-    /** The program's own end is not what ends a client's connection: its answer is, or that it stood idle. */
-    private static void answered(TestClient client) throws Exception {
+    /** A client's connection ends after a response or because it is idle, not because the process exits. */
+    private static void assertResponse(TestClient client) throws Exception {
         String got = client.read();
-        assertTrue(got.startsWith("HTTP/1.1 "), "'" + got + "' in place of an answer");
+        assertTrue(got.startsWith("HTTP/1.1 "), "expected a response but read '" + got + "'");
     }
 
     /**
-     * From its last connection's end on nothing can be lost: how soon the machine halts the program is not the point.
+     * Measures the time until the last connection is closed, because no data can be lost after that. The time until the
+     * process has exited also depends on the machine.
      */
-    private static void closedWithin(long milliseconds, long start, TestClient... clients) throws Exception {
+    private static void assertClosedWithin(long milliseconds, long start, TestClient... clients) throws Exception {
         for (TestClient each : clients) {
             assertEquals("", each.read());
         }
         long took = (System.nanoTime() - start) / 1_000_000;
-        assertTrue(took < milliseconds, "killed after " + milliseconds + " ms, closed after " + took);
+        assertTrue(
+                took < milliseconds,
+                "connections closed after " + took + " ms, process killed after " + milliseconds + " ms");
     }
 
     /**
-     * The process stands still when it is told to end, and until all is over by its own reckoning: what has come
-     * meanwhile, on connections it knows and on such as it has not accepted, waits for the same turn as its end.
+     * The process stalls during the shutdown until its time for the shutdown is over. Requests that arrived meanwhile,
+     * on accepted connections and in the listener's backlog, are handled in the same event loop turn as the end of the
+     * shutdown, and could be lost by it.
      */
     @Test
-    void withShortLimitsWhatCameDuringAStallIsAnsweredBeforeTheEnd() throws Exception {
-        limits(settings(), 300, 150);
+    void withShortDeadlinesRequestsReceivedDuringAStallGetAResponseBeforeTheExit() throws Exception {
+        setDeadlines(settings(), 300, 150);
         serve();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             clients.add(client());
-            answered(ask(clients.get(i), "t" + i));
+            assertResponse(sendRequest(clients.get(i), "t" + i));
         }
         process.destroy();
         eventually(() -> log().contains("code=draining"));
@@ -85,168 +89,183 @@
             clients.add(client());
         }
         for (TestClient each : clients) {
-            ask(each, "u" + clients.indexOf(each));
+            sendRequest(each, "u" + clients.indexOf(each));
         }
-        // All was over by then: it ended half a second after the signal, and its clients are expected up to 0.4 s.
+        // The time for the shutdown is over by then: it ends 0.5 s after SIGTERM, and clients connect for up to 0.4 s.
         pause(700);
         signal("CONT");
         for (TestClient each : clients) {
-            answered(each);
+            assertResponse(each);
         }
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
-    private static TestClient ask(TestClient client, String trace) throws Exception {
-        return ask(client, trace, 300);
+    private static TestClient sendRequest(TestClient client, String trace) throws Exception {
+        return sendRequest(client, trace, 300);
     }
 
-    private static TestClient ask(TestClient client, String trace, int wait) throws Exception {
-        client.write(transaction("quote", trace, wait));
+    private static TestClient sendRequest(TestClient client, String trace, int timeoutMillis) throws Exception {
+        client.write(transaction("quote", trace, timeoutMillis));
         return client;
     }
 
-    /** With limits of a third of a second all goes on as long as clients come, and nothing outlives the program. */
+    /**
+     * With deadlines of 0.3 s, requests are served during the shutdown for as long as clients send them, and no
+     * transaction is still open when the process exits.
+     */
     @Test
-    void withShortLimitsItServesAsLongAsClientsCome() throws Exception {
-        limits(settings(), 300, 150);
+    void withShortDeadlinesRequestsAreServedForAsLongAsClientsSendThem() throws Exception {
+        setDeadlines(settings(), 300, 150);
         serve();
-        TestClient kept = client();
-        answered(ask(kept, "t"));
+        TestClient reusedClient = client();
+        assertResponse(sendRequest(reusedClient, "t"));
         long start = System.nanoTime();
         process.destroy();
         while (System.nanoTime() - start < 400_000_000L) {
-            answered(ask(client(), "u" + System.nanoTime()));
-            answered(ask(kept, "v" + System.nanoTime()));
+            assertResponse(sendRequest(client(), "u" + System.nanoTime()));
+            assertResponse(sendRequest(reusedClient, "v" + System.nanoTime()));
         }
         endpoint.answers = r -> HANG;
-        ask(kept, "w");
+        sendRequest(reusedClient, "w");
         if (System.nanoTime() - start < 700_000_000L) {
-            answered(kept);
+            assertResponse(reusedClient);
         } else {
-            // The test's own thread was late, and idle connections are ended by now: it may cross that, unread.
-            assertTrue(kept.read().startsWith("HTTP/1.1 ") || !endpoint.saw("w"), "read, and not answered");
+            // The test's thread ran late, and idle connections are closed by now: the request may cross the close and
+            // remain unread.
+            assertTrue(
+                    reusedClient.read().startsWith("HTTP/1.1 ") || !endpoint.saw("w"),
+                    "the request was forwarded but got no response");
         }
-        closedWithin(1_000, start, kept);
+        assertClosedWithin(1_000, start, reusedClient);
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
     /**
-     * All descriptors are held by clients that say nothing; those that wait in the listener's queue are let in before
-     * it ends.
+     * Silent clients hold all descriptors. The clients that wait in the listener's backlog must be accepted before the
+     * listener closes.
      */
     @Test
-    void whoWaitsInTheListenersQueueIsAnsweredBeforeItEnds() throws Exception {
+    void clientsInTheBacklogGetAResponseBeforeTheListenerCloses() throws Exception {
         sockets = 64;
-        limits(settings(), 1_000, 400);
+        setDeadlines(settings(), 1_000, 400);
         serve();
         for (int i = 0; i < DescriptorBudget.forClients(sockets).limit(); i++) {
             client();
         }
-        List<TestClient> queue = new ArrayList<>();
+        List<TestClient> backlog = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            queue.add(client());
-            ask(queue.get(i), "u" + i, 1_000);
+            backlog.add(client());
+            sendRequest(backlog.get(i), "u" + i, 1_000);
         }
         process.destroy();
-        for (TestClient each : queue) {
-            answered(each);
+        for (TestClient each : backlog) {
+            assertResponse(each);
         }
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
-    /** SIGHUP first, to shorter limits: what was taken under the longer ones must not outlive the program. */
+    /**
+     * SIGHUP loads shorter deadlines, then SIGTERM arrives: a transaction accepted under the longer deadlines must not
+     * outlive the process.
+     */
     @Test
-    void whatWasTakenUnderLongerLimitsIsAnsweredBeforeTheEndUnderShorterOnes() throws Exception {
-        limits(settings(), 9_000, 4_000);
+    void transactionAcceptedUnderLongerDeadlinesGetsAResponseBeforeTheExit() throws Exception {
+        setDeadlines(settings(), 9_000, 4_000);
         endpoint.answers = r -> HANG;
         serve();
         TestClient client = client();
         client.write(transaction("post-charge", "t", 8_000));
         eventually(() -> endpoint.saw("t"));
-        reread(limits(settings().copy(), 400, 200));
+        reload(setDeadlines(settings().copy(), 400, 200));
         long start = System.nanoTime();
         process.destroy();
-        answered(client);
-        closedWithin(1_100, start, client);
+        assertResponse(client);
+        assertClosedWithin(1_100, start, client);
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
     }
 
-    /** SIGHUP behind SIGTERM, to longer limits: what is taken under them ends with the program as well. */
+    /**
+     * SIGHUP after SIGTERM loads other deadlines. Even a transaction accepted under longer deadlines gets its response
+     * before the time at which the process was to exit.
+     */
     @ParameterizedTest
     @ValueSource(longs = {9_000, 100})
-    void newSettingsBehindTheWordToEndDoNotMoveTheEnd(long limit) throws Exception {
-        limits(settings(), 1_500, 600);
+    void reloadAfterSigtermDoesNotDelayTheExit(long deadlineMillis) throws Exception {
+        setDeadlines(settings(), 1_500, 600);
         serve();
         TestClient client = client();
         client.ask(transaction("post-charge", "t", 1_500));
         endpoint.answers = r -> HANG;
-        TestClient open = client();
-        open.write(transaction("post-charge", "u", 1_500));
+        TestClient openClient = client();
+        openClient.write(transaction("post-charge", "u", 1_500));
         eventually(() -> endpoint.saw("u"));
         long start = System.nanoTime();
         process.destroy();
         eventually(() -> log().contains("code=draining"));
-        reread(limits(settings().copy(), limit, limit / 2));
+        reload(setDeadlines(settings().copy(), deadlineMillis, deadlineMillis / 2));
         client.write(transaction("post-charge", "v", 9_000));
-        answered(client);
-        answered(open);
-        closedWithin(2_200, start, client, open);
+        assertResponse(client);
+        assertResponse(openClient);
+        assertClosedWithin(2_200, start, client, openClient);
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
-    /** Let in just before the listener ends, and sending only behind that: each gets an answer in place of its end. */
+    /**
+     * Clients are accepted just before the listener closes and send their requests only after that. Each must get a
+     * response instead of a closed connection.
+     */
     @Test
-    void whoWasJustLetInAtTheEndMaySendWhatItBrings() throws Exception {
-        limits(settings(), 300, 150);
+    void clientAcceptedJustBeforeTheListenerClosesGetsAResponse() throws Exception {
+        setDeadlines(settings(), 300, 150);
         serve();
         long start = System.nanoTime();
         process.destroy();
         List<TestClient> clients = new ArrayList<>();
-        // It closes 600 ms after the signal, for no client is left then.
-        for (int at : new int[] {540, 550, 560, 570, 580}) {
-            pause(Math.max(0, at - (System.nanoTime() - start) / 1_000_000));
+        // The listener closes 600 ms after SIGTERM, because no client is connected then.
+        for (int connectAtMillis : new int[] {540, 550, 560, 570, 580}) {
+            pause(Math.max(0, connectAtMillis - (System.nanoTime() - start) / 1_000_000));
             clients.add(client());
         }
         pause(Math.max(0, 630 - (System.nanoTime() - start) / 1_000_000));
         for (TestClient each : clients) {
-            answered(ask(each, "u" + clients.indexOf(each)));
+            assertResponse(sendRequest(each, "u" + clients.indexOf(each)));
         }
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
     /**
-     * The second signal comes while the file is being read for the first (it is a pipe, whose text the test gives):
-     * what is read last holds, and neither takes a part of what the other reads.
+     * The second SIGHUP arrives while the file is being read for the first. The file is a named pipe, whose content the
+     * test writes. The content that is read last takes effect, and neither read gets a part of the other's content.
      */
     @Test
-    void ofTwoWordsToRereadTheLaterHolds() throws Exception {
+    void secondOfTwoOverlappingReloadsTakesEffect() throws Exception {
         serve();
-        StubDiscovery[] places = {new StubDiscovery(r -> HANG), new StubDiscovery(r -> HANG)};
-        opened.addAll(List.of(places));
-        Path file = dir.resolve("config.json");
-        JsonObject before = new JsonObject(Files.readString(file));
-        Files.delete(file);
-        assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
+        StubDiscovery[] discoveries = {new StubDiscovery(r -> HANG), new StubDiscovery(r -> HANG)};
+        opened.addAll(List.of(discoveries));
+        Path pipe = dir.resolve("config.json");
+        JsonObject original = new JsonObject(Files.readString(pipe));
+        Files.delete(pipe);
+        assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         signal("HUP");
-        OutputStream first = readBySidecar(file);
+        OutputStream firstWrite = openOnceSidecarReads(pipe);
         signal("HUP");
         pause(200);
-        giveDiscovery(first, before, places[0]);
-        giveDiscovery(readBySidecar(file), before, places[1]);
-        eventually(() -> !places[1].seen.isEmpty());
+        writeConfig(firstWrite, original, discoveries[0]);
+        writeConfig(openOnceSidecarReads(pipe), original, discoveries[1]);
+        eventually(() -> !discoveries[1].seen.isEmpty());
     }
 
     /**
-     * Opens a pipe for writing once the sidecar has opened it for reading, and fails if it doesn't: what is written to
-     * a pipe that nobody has open is lost, and of two signals of which none was delivered yet only one is. Another
-     * process opens it, since a thread that waits there can't be interrupted.
+     * Opens a named pipe for writing once the sidecar has opened it for reading, and fails if the sidecar does not. The
+     * wait is needed because data written to a pipe without a reader is lost, and because only one of two pending
+     * signals is delivered. Another process opens the pipe, because a thread that blocks there cannot be interrupted.
      */
-    private OutputStream readBySidecar(Path pipe) throws Exception {
+    private OutputStream openOnceSidecarReads(Path pipe) throws Exception {
         Process writer = new ProcessBuilder(
                         "sh", "-c", "exec 3> \"$0\" && echo opened && exec cat >&3", pipe.toString())
                 .start();
@@ -263,29 +282,32 @@
         }
     }
 
-    /** Writes a configuration with another place of discovery, and waits until the sidecar has read it. */
-    private void giveDiscovery(OutputStream pipe, JsonObject before, StubDiscovery place) throws Exception {
-        int read = log().split("code=read", -1).length;
+    /** Writes a configuration with this discovery address, and waits until the sidecar has read it. */
+    private void writeConfig(OutputStream pipe, JsonObject original, StubDiscovery newDiscovery) throws Exception {
+        int readsBefore = log().split("code=read", -1).length;
         try (pipe) {
-            pipe.write(before.copy()
-                    .put("discovery", "127.0.0.1:" + place.port())
+            pipe.write(original.copy()
+                    .put("discovery", "127.0.0.1:" + newDiscovery.port())
                     .encode()
                     .getBytes(StandardCharsets.UTF_8));
         }
-        eventually(() -> log().split("code=read", -1).length == read + 1);
+        eventually(() -> log().split("code=read", -1).length == readsBefore + 1);
     }
 
-    /** Connections are kept until the end is near, but not for one that has stopped in the midst of its request. */
+    /**
+     * Connections are kept until shortly before the exit, but not a connection whose client has stopped in the middle
+     * of a request.
+     */
     @Test
-    void halfARequestIsNotHeldUntilTheEnd() throws Exception {
+    void connectionWithAnIncompleteRequestIsClosedBeforeTheOthers() throws Exception {
         serve();
         TestClient client = client();
-        answered(ask(client, "t", 1_500));
+        assertResponse(sendRequest(client, "t", 1_500));
         process.destroy();
         eventually(() -> log().contains("code=draining"));
         client.write("POST /post-charge HTTP/1.1\r\nHost: h\r\nContent-Len");
         Stopwatch watch = new Stopwatch();
         assertEquals("", client.read());
-        assertTrue(watch.milliseconds() < 2_700, "held for " + watch.milliseconds() + " ms");
+        assertTrue(watch.milliseconds() < 2_700, "closed after " + watch.milliseconds() + " ms");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/IgnoredSignalsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/IgnoredSignalsIT.java
@@ -17,45 +17,45 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A sidecar went on sending to drained endpoints for good: it had been started under {@code nohup}, and a child process
- * inherits ignored signals. A JVM leaves SIGHUP and SIGTERM ignored if they were at its start, also where the program
- * asks for them, so the reload that named the new address of discovery never came. Shown by plays that differ in
- * nothing but {@code nohup}, and by SigIgn in /proc/PID/status.
+ * A sidecar that had been started under {@code nohup} kept sending to drained endpoints. A child process inherits
+ * ignored signals, and a JVM leaves SIGHUP and SIGTERM ignored if they were ignored at its start, even if the program
+ * registers handlers. So the reload with the new address of discovery never happened. Test runs that differed only in
+ * {@code nohup}, and SigIgn in /proc/PID/status, showed this cause.
  */
 class IgnoredSignalsIT extends SidecarFixture {
-    private static final List<String> IGNORING = List.of("sh", "-c", "trap '' HUP TERM; exec \"$@\"", "sh");
+    private static final List<String> IGNORING_SHELL = List.of("sh", "-c", "trap '' HUP TERM; exec \"$@\"", "sh");
 
     @BeforeEach
-    void oneEndpoint() {
+    void addEndpoint() {
         endpoint(r -> answer(200, "", "good"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"nohup", "trap"})
-    void reloadIsHeardThoughTheParentIgnoresSighup(String parent) throws Exception {
-        StubDiscovery elsewhere = new StubDiscovery(r -> HANG);
-        opened.add(elsewhere);
-        launcher = parent.equals("nohup") ? List.of("nohup") : IGNORING;
+    void reloadsThoughTheParentIgnoresSighup(String parent) throws Exception {
+        StubDiscovery newDiscovery = new StubDiscovery(r -> HANG);
+        opened.add(newDiscovery);
+        launcher = parent.equals("nohup") ? List.of("nohup") : IGNORING_SHELL;
         serve();
         Path file = dir.resolve("config.json");
-        JsonObject moved = new JsonObject(Files.readString(file)).put("discovery", "127.0.0.1:" + elsewhere.port());
-        Files.writeString(file, moved.encode());
+        JsonObject config = new JsonObject(Files.readString(file)).put("discovery", "127.0.0.1:" + newDiscovery.port());
+        Files.writeString(file, config.encode());
         signal("HUP");
-        eventually(() -> elsewhere.seen.size() == 1);
+        eventually(() -> newDiscovery.seen.size() == 1);
     }
 
     @Test
-    void itShutsDownGracefullyThoughTheParentIgnoresSigterm() throws Exception {
-        launcher = IGNORING;
+    void shutsDownGracefullyThoughTheParentIgnoresSigterm() throws Exception {
+        launcher = IGNORING_SHELL;
         serve();
         signal("TERM");
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
-    /** Started by another command than the deploy file's, it can't mend that, but says so. */
+    /** Without the command of the deploy file the sidecar cannot restore the signals, but it reports them. */
     @Test
-    void aStartThatLeavesThemIgnoredIsToldInTheLogAndByAGauge() throws Exception {
+    void signalsThatStayIgnoredAreLoggedAndReportedByAGauge() throws Exception {
         launcher = List.of("sh", "-c", "trap '' HUP TERM; while [ \"$1\" != java ]; do shift; done; exec \"$@\"", "sh");
         serve();
         eventually(() -> log().contains("serve code=signals-ignored signals=[HUP, TERM]"));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void anOrdinaryStartIgnoresNone() throws Exception {
+    void ordinaryStartReportsNoIgnoredSignals() throws Exception {
         serve();
         assertEquals(0, counters().getJsonObject("now").getLong("ignored_signals"));
         assertTrue(!log().contains("signals-ignored"), log());
