--- a/sidecar/src/test/java/trestlegrade/integration/MalformedResponsesIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/MalformedResponsesIT.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Endpoints whose answers are cut, malformed, or followed by more. */
+/** Endpoints whose responses are truncated, malformed or followed by excess bytes. */
 class MalformedResponsesIT extends SidecarFixture {
     /**
-     * Half of the answers are no HTTP, are cut, or do not say where they end. Such an attempt may have run and costs
-     * its connection, at once; the next transaction gets its own answer.
+     * Every second response is not HTTP, is truncated or does not say where it ends. Such an attempt may have run, and
+     * its connection is closed immediately. The next transaction gets its own response.
      */
     @ParameterizedTest
     @CsvSource(
@@ -43,13 +43,13 @@
                 "HTTP/1.1 200 OK\\r\\nContent-Length: 3000000000\\r\\n\\r\\nmuch|oversized"
             },
             delimiter = '|')
-    void malformedResponseCountsAsAnAttemptThatMayHaveRun(String answer, String code) throws Exception {
-        AtomicInteger asked = new AtomicInteger();
-        Function<String, String> oddOnesSpoilt = r -> asked.getAndIncrement() % 2 == 0
-                ? answer.replace("\\r", "\r").replace("\\n", "\n")
+    void malformedResponseCountsAsAnAttemptThatMayHaveRun(String response, String code) throws Exception {
+        AtomicInteger requests = new AtomicInteger();
+        Function<String, String> everySecondMalformed = r -> requests.getAndIncrement() % 2 == 0
+                ? response.replace("\\r", "\r").replace("\\n", "\n")
                 : answer(200, "", header(r, "X-Trace-Id"));
-        StubEndpoint first = endpoint(oddOnesSpoilt);
-        StubEndpoint second = endpoint(oddOnesSpoilt);
+        StubEndpoint first = endpoint(everySecondMalformed);
+        StubEndpoint second = endpoint(everySecondMalformed);
         serve();
         TestClient client = client();
         for (int i = 0; i < 3; i++) {
@@ -62,53 +62,54 @@
             assertTrue(took < (code.equals("unfinished") ? 800 : 200), "after " + took + " ms");
             assertTrue(client.ask(transaction("post-charge", "v" + i, 500)).endsWith("v" + i));
         }
-        // A connection's end is counted a few turns of the loop behind the answer that it brought about.
-        eventually(() -> ended("pooled:" + code) >= 6);
-        assertEquals(6, ended("pooled:" + code));
+        // The end of a connection is counted a few event loop turns after the response to the client that it causes.
+        eventually(() -> connectionsEnded("pooled:" + code) >= 6);
+        assertEquals(6, connectionsEnded("pooled:" + code));
         assertEquals(12, first.seen.size() + second.seen.size());
     }
 
-    private long ended(String code) {
+    private long connectionsEnded(String code) {
         return counters().getJsonObject("connections_ended").getLong(code, 0L);
     }
 
     /**
-     * A good answer brings more than belongs to it. It counts, and what is beyond costs the connection: read as the
-     * answer to the next transaction it would reach another client.
+     * A valid response comes with excess bytes. It is forwarded, and its connection is closed, because the excess bytes
+     * would be read as the response to the next transaction and reach another client. Interim responses and load
+     * reports are not excess bytes.
      */
     @ParameterizedTest
-    @ValueSource(strings = {"twice", "noise behind", "later", "interim", "report", "ends"})
+    @ValueSource(strings = {"duplicate", "noise", "second write", "interim", "load report", "close"})
     void excessBytesReachNoOtherTransaction(String fault) throws Exception {
-        String good = "HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n";
+        String head = "HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n";
         StubEndpoint endpoint = endpoint(r -> {
-            String mine = good + header(r, "X-Trace-Id");
+            String response = head + header(r, "X-Trace-Id");
             return switch (fault) {
-                case "twice" -> mine + mine;
-                case "noise behind" -> mine + "noise";
-                case "interim" -> "HTTP/1.1 102 X\r\nA: b\r\n\r\nHTTP/1.1 103 X\r\n\r\n" + mine;
-                case "report" -> mine.replace("Content", "Endpoint-Load-Metrics: \u0001\u007f\r\nContent");
-                default -> mine;
+                case "duplicate" -> response + response;
+                case "noise" -> response + "noise";
+                case "interim" -> "HTTP/1.1 102 X\r\nA: b\r\n\r\nHTTP/1.1 103 X\r\n\r\n" + response;
+                case "load report" -> response.replace("Content", "Endpoint-Load-Metrics: \u0001\u007f\r\nContent");
+                default -> response;
             };
         });
-        endpoint.afterwards = fault.equals("later") ? good + "xx" : fault.equals("ends") ? CLOSE : HANG;
+        endpoint.afterwards = fault.equals("second write") ? head + "xx" : fault.equals("close") ? CLOSE : HANG;
         serve();
-        boolean kept = fault.equals("interim") || fault.equals("report");
+        boolean reusable = fault.equals("interim") || fault.equals("load report");
         for (int round = 0; round < 20; round++) {
-            List<TestClient> pair = List.of(client(), client());
+            List<TestClient> clients = List.of(client(), client());
             for (int i = 0; i < 10; i++) {
-                for (TestClient each : pair) {
-                    String trace = pair.indexOf(each) + "" + i;
-                    String got = each.ask(transaction(kept ? "quote" : "post-charge", trace, 900));
+                for (TestClient client : clients) {
+                    String trace = clients.indexOf(client) + "" + i;
+                    String got = client.ask(transaction(reusable ? "quote" : "post-charge", trace, 900));
                     assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + trace), got);
                 }
             }
         }
-        // How many rest at once goes by how fast the machine is; that none was ended for what it brought does not.
+        // How many connections are pooled depends on the speed of the machine, but why they were ended does not.
         JsonObject ended = counters().getJsonObject("connections_ended");
-        boolean blamed = Stream.of("excess", "spoilt", "unfinished", "endpoint-closed", "broken")
+        boolean endedByFault = Stream.of("excess", "spoilt", "unfinished", "endpoint-closed", "broken")
                 .anyMatch(code -> ended.containsKey("pooled:" + code));
         assertTrue(
-                kept ? endpoint.connections.get() < 200 && !blamed : endpoint.connections.get() >= 200,
+                reusable ? endpoint.connections.get() < 200 && !endedByFault : endpoint.connections.get() >= 200,
                 () -> endpoint.connections.get() + " connections, " + ended.encode());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/PolicySettingsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/PolicySettingsIT.java
@@ -15,21 +15,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Settings that no deployment of today has. */
+/** Settings that no current deployment uses. */
 class PolicySettingsIT extends SidecarFixture {
 
-    private static String bytes(String text) {
+    /** The UTF-8 encoding of a text, one character per byte. */
+    private static String utf8(String text) {
         return new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
     }
 
-    /** Names are the settings' own, in the field or else in the path, and none is taken for another. */
+    /** The name in the X-Qos field, or else in the path, must match the name of a profile exactly. */
     @Test
-    void profilesGoByTheirWholeNames() throws Exception {
+    void profilesAreSelectedByTheirFullName() throws Exception {
         StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         List<String> names = List.of("p", "pay", "pay-check", "Pay", "gr\u00f6\u00dfte", "a'b\"c*", "x.%7E;y");
         JsonArray profiles = new JsonArray();
         for (String name : names) {
-            // Told apart by their limits, each of which is over twice the one before.
+            // The deadline identifies the profile, because each is more than twice the previous one.
             profiles.add(new JsonObject()
                     .put("name", name)
                     .put("effect", names.indexOf(name) % 2 == 0 ? "once" : "repeatable")
@@ -39,30 +40,35 @@
         }
         settings().put("profiles", profiles);
         serve();
-        for (boolean field : new boolean[] {true, false}) {
+        for (boolean inField : new boolean[] {true, false}) {
             for (String name : names) {
-                String got = client().ask("POST /" + bytes(name) + "?k=1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: "
-                        + names.indexOf(name) + field + "\r\n" + (field ? "X-Qos: " + bytes(name) + "\r\n" : "")
+                String got = client().ask("POST /" + utf8(name) + "?k=1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: "
+                        + names.indexOf(name) + inField + "\r\n" + (inField ? "X-Qos: " + utf8(name) + "\r\n" : "")
                         + "Content-Length: 0\r\n\r\n");
-                assertEquals("200", got.substring(9, 12), name + " " + field);
+                assertEquals("200", got.substring(9, 12), name + " " + inField);
                 String attempt = endpoint.seen.get(endpoint.seen.size() - 1);
-                double left = Double.parseDouble(header(attempt, "X-Expires-In").replace("u", "")) / 1_000;
-                double limit = 1_000 * Math.pow(3, names.indexOf(name));
-                assertTrue(left > limit / 2 && left <= limit, name + " had " + left);
+                double remainingMillis = Double.parseDouble(header(attempt, "X-Expires-In").replace("u", "")) / 1_000;
+                double deadlineMillis = 1_000 * Math.pow(3, names.indexOf(name));
+                assertTrue(
+                        remainingMillis > deadlineMillis / 2 && remainingMillis <= deadlineMillis,
+                        name + " had " + remainingMillis + " ms left");
             }
             for (String name : List.of("pa", "PAY", "pay-", "grosste", "x.~;y")) {
-                String got = client().ask("POST /" + name + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + name + field
-                        + "\r\n" + (field ? "X-Qos: " + name + "\r\n" : "") + "Content-Length: 0\r\n\r\n");
+                String got = client().ask("POST /" + name + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + name + inField
+                        + "\r\n" + (inField ? "X-Qos: " + name + "\r\n" : "") + "Content-Length: 0\r\n\r\n");
                 assertEquals("404", got.substring(9, 12), name);
             }
         }
         assertEquals(2 * names.size(), endpoint.seen.size());
     }
 
-    /** One attempt at the most, nothing called off, no word when to come back: each has its one answer in time. */
+    /**
+     * The settings allow one attempt only, no cancelling and no Retry-After. Each transaction still gets exactly one
+     * response, in time.
+     */
     @ParameterizedTest
     @ValueSource(ints = {60, 350, 10_000})
-    void withEveryAllowanceOffEachHasItsOneAnswerInTime(int limit) throws Exception {
+    void withoutRetriesOrCancellingEachTransactionGetsAResponseInTime(int deadlineMillis) throws Exception {
         StubEndpoint silent = endpoint(r -> HANG);
         settings().remove("azs");
         settings().remove("n_instances");
@@ -78,19 +84,19 @@
                         new JsonArray(settings()
                                 .getJsonArray("profiles")
                                 .encode()
-                                .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":" + limit)
-                                .replaceAll("\"service_goal\":\\d+", "\"service_goal\":" + limit / 2)));
+                                .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":" + deadlineMillis)
+                                .replaceAll("\"service_goal\":\\d+", "\"service_goal\":" + deadlineMillis / 2)));
         known = new JsonArray().add(entry(0, "active").put("zone", ""));
         serve();
-        int wait = Math.min(limit, 2_000);
+        int timeoutMillis = Math.min(deadlineMillis, 2_000);
         TestClient client = client();
         for (String profile : List.of("quote", "post-charge")) {
             long start = System.nanoTime();
-            String got = client.ask(transaction(profile, "t-" + profile, wait));
+            String got = client.ask(transaction(profile, "t-" + profile, timeoutMillis));
             long took = (System.nanoTime() - start) / 1_000_000;
             assertEquals(profile.equals("quote") ? "503" : "502", got.substring(9, 12));
             assertTrue(!got.contains("Retry-After"), got);
-            assertTrue(took <= wait + 50, "after " + took + " ms of " + wait);
+            assertTrue(took <= timeoutMillis + 50, "after " + took + " ms of " + timeoutMillis);
         }
         assertEquals(2, silent.seen.size());
     }
--- a/sidecar/src/test/java/trestlegrade/integration/PooledConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/PooledConnectionsIT.java
@@ -15,28 +15,28 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import trestlegrade.outbound.AttemptSender;
 
-/** What an endpoint sends or ends on a connection meets the next attempt that would take it. */
+/** An endpoint sends data on a pooled connection, or ends it, while the next attempt may be about to use it. */
 class PooledConnectionsIT extends SidecarFixture {
 
     /**
-     * A second answer is written some milliseconds behind the first, when the next transaction is out already: it must
-     * not be taken for the answer to that one.
+     * An endpoint writes a duplicate response some milliseconds after the first, when the next transaction may already
+     * have been sent. The duplicate must not be forwarded as the response to that transaction.
      */
     @ParameterizedTest
     @ValueSource(strings = {"quote", "post-charge"})
-    void aSecondAnswerThatComesLateReachesNobody(String profile) throws Exception {
-        // The next attempt's own answer comes later than the stray one.
-        StubEndpoint endpoint = answersTwice(12, 8);
+    void lateDuplicateResponseIsNotForwarded(String profile) throws Exception {
+        // The response to the next attempt arrives later than the duplicate.
+        StubEndpoint endpoint = endpointRespondingTwice(12, 8);
         serve();
         TestClient client = client();
         for (int i = 0; i < 60; i++) {
             String got = client.ask(transaction(profile, "t" + i, 900));
-            String whose = got.substring(got.indexOf("\r\n\r\n") + 4);
+            String responseTrace = got.substring(got.indexOf("\r\n\r\n") + 4);
             assertTrue(
-                    got.startsWith("HTTP/1.1 200 ") && whose.equals("t" + i),
-                    () -> got + ", written " + endpoint.strayed.getOrDefault(whose, 0L) / 1_000_000
-                            + " ms behind its first");
-            // The connection has been looked at since its answer, and the stray one is not there yet.
+                    got.startsWith("HTTP/1.1 200 ") && responseTrace.equals("t" + i),
+                    () -> got + ", written " + endpoint.strayed.getOrDefault(responseTrace, 0L) / 1_000_000
+                            + " ms after the first response");
+            // By the end of this pause the connection has been read again, and the duplicate has not arrived yet.
             pause(4);
         }
         assertTrue(
@@ -45,18 +45,18 @@
     }
 
     /**
-     * The system of an endpoint without TCP_NODELAY holds its second answer back until the first is acknowledged, and
-     * on a connection on which both sides speak in turn this side's system waits with that for 40 ms or for the next
-     * bytes.
+     * The kernel of an endpoint without TCP_NODELAY delays the duplicate response until the first is acknowledged. If
+     * both sides of a connection send in turn, the sidecar's kernel delays the acknowledgement for 40 ms or until it
+     * sends data.
      */
     @ParameterizedTest
     @ValueSource(strings = {"quote", "post-charge"})
-    void aSecondAnswerThatIsHeldBackReachesNobody(String profile) throws Exception {
+    void duplicateResponseDelayedByTheKernelIsNotForwarded(String profile) throws Exception {
         StubEndpoint endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
         patient();
         serve();
         TestClient client = client();
-        // A machine that is late itself writes none in some rounds.
+        // In some rounds no duplicate is written, because the machine itself is late.
         for (int round = 0; endpoint.strayed.size() < 6; round++) {
             for (int i = 0; i < 5; i++) {
                 client.ask(transaction(profile, "warm" + round + "-" + i, 30_000));
@@ -64,7 +64,7 @@
             }
             endpoint.straysAfter = 8;
             client.ask(transaction(profile, "t" + round, 30_000));
-            // Rested, and free for the next one.
+            // Lasts longer than the quarantine, so that the next attempt may use the connection.
             pause(36);
             endpoint.straysAfter = 0;
             String got = client.ask(transaction(profile, "u" + round, 30_000));
@@ -74,45 +74,48 @@
     }
 
     /**
-     * A second answer that comes behind the quarantine went to the next transaction on its connection: 8 of 100 clients
-     * got another's answer from a distant endpoint that answers twice.
+     * A duplicate response that arrived after the quarantine was forwarded as the response to the next transaction on
+     * the connection: 8 of 100 clients got the response of another client from a distant endpoint that responds twice.
      */
     @ParameterizedTest
     @ValueSource(strings = {"quote", "post-charge"})
-    void aSecondAnswerBehindTheQuarantineReachesNobodyOnceOneWasSeen(String profile) throws Exception {
-        answersTwice(40, 2 * AttemptSender.QUARANTINE_MILLIS);
+    void duplicateResponseAfterTheQuarantineIsNotForwardedOnceADuplicateWasSeen(String profile) throws Exception {
+        endpointRespondingTwice(40, 2 * AttemptSender.QUARANTINE_MILLIS);
         serve();
         TestClient client = client();
-        for (int seen = 0; seen == 0; seen = excessBytesSeen()) {
+        for (int ended = 0; ended == 0; ended = connectionsEndedByExcessBytes()) {
             client.ask(transaction(profile, "first", 900));
             pause(3 * AttemptSender.QUARANTINE_MILLIS);
         }
         for (int i = 0; i < 20; i++) {
             String got = client.ask(transaction(profile, "t" + i, 900));
             assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\nt" + i), got);
-            // The quarantine of the connection is over, and the stray answer is still to come.
+            // By the end of this pause the quarantine is over, and the duplicate has not arrived yet.
             pause(AttemptSender.QUARANTINE_MILLIS + 8);
         }
     }
 
-    /** An endpoint that takes so long for an answer, and sends it once more so long behind it. */
-    private StubEndpoint answersTwice(int answerMillis, int strayMillis) {
+    /** An endpoint that responds after {@code responseMillis}, and once more {@code duplicateMillis} later. */
+    private StubEndpoint endpointRespondingTwice(int responseMillis, int duplicateMillis) {
         StubEndpoint endpoint = endpoint(r -> {
-            pause(answerMillis);
+            pause(responseMillis);
             return answer(200, "", header(r, "X-Trace-Id"));
         });
-        endpoint.straysAfter = strayMillis;
+        endpoint.straysAfter = duplicateMillis;
         return endpoint;
     }
 
-    private int excessBytesSeen() {
+    private int connectionsEndedByExcessBytes() {
         return counters().getJsonObject("connections_ended").getInteger("pooled:excess", 0);
     }
 
-    /** The process stands still; what happens to an idle connection, and a transaction, wait for the same turn. */
+    /**
+     * The process stalls, and then handles an event on an idle connection in the same event loop turn as a transaction
+     * that could use the connection.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"end", "reset", "half a line"})
-    void anIdleConnectionEndsInTheTurnInWhichItWouldBeTaken(String happens) throws Exception {
+    @ValueSource(strings = {"end", "reset", "partial line"})
+    void transactionIsServedIfIdleConnectionsEndInTheSameTurn(String event) throws Exception {
         StubEndpoint endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
         serve();
         List<TestClient> clients = new ArrayList<>();
@@ -120,16 +123,16 @@
             clients.add(client());
             clients.get(i).ask(transaction("quote", "t" + i, 900));
         }
-        // Rested, so that attempts which may not be repeated are trusted to them too.
+        // Lasts longer than the quarantine, so that attempts that must not be repeated may use the connections too.
         pause(100);
         int pooled = endpoint.connections.get();
         signal("STOP");
         eventually(this::stopped);
         for (int i = 0; i < pooled; i++) {
-            if (happens.equals("half a line")) {
+            if (event.equals("partial line")) {
                 endpoint.send(i, "HTTP/1.1 20");
             } else {
-                endpoint.end(i, happens.equals("reset"));
+                endpoint.end(i, event.equals("reset"));
             }
         }
         for (TestClient each : clients) {
@@ -146,10 +149,11 @@
     }
 
     /**
-     * The process stands still; an answer, and the end of its transaction, wait for the same turn: one of them counts.
+     * The process stalls, and then handles a response in the same event loop turn as the deadline of its transaction.
+     * Exactly one of them must decide the result.
      */
     @Test
-    void anAnswerAndTheEndOfItsTransactionInOneTurn() throws Exception {
+    void responseInTheSameTurnAsItsDeadlineGivesOneResult() throws Exception {
         Gate gate = new Gate();
         StubEndpoint endpoint = endpoint(r -> {
             if (header(r, "X-Trace-Id").startsWith("u")) {
@@ -167,7 +171,7 @@
         signal("STOP");
         eventually(this::stopped);
         gate.open();
-        // Past the ends of all, with a quarter of the wait kept before each.
+        // Lasts until all transactions have ended, which they do when a quarter of their timeout is left.
         pause(1_100);
         signal("CONT");
         for (TestClient each : clients) {
@@ -177,7 +181,7 @@
                     got.endsWith("\r\n\r\nu" + i) || got.startsWith(i % 2 == 0 ? "HTTP/1.1 503 " : "HTTP/1.1 502 "),
                     got);
         }
-        // One answer to each: the next on the same connection is the next one's own.
+        // Each request got one response: the next response on the connection belongs to the next request.
         for (TestClient each : clients) {
             String trace = "v" + clients.indexOf(each);
             String got = each.ask(transaction("quote", trace, 900));
--- a/sidecar/src/test/java/trestlegrade/integration/RejectedRequestsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/RejectedRequestsIT.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests that are no transactions. */
+/** Requests that are not valid transactions. */
 class RejectedRequestsIT extends SidecarFixture {
-    /** The status, and the request that gets it. */
+    /** Pairs of the expected status and the request. */
     private static final String[][] MALFORMED_REQUESTS = {
         {"400", "GET /quote HTTP/1.1\r\nHost h\r\nX-Trace-Id t\r\n\r\n"},
         {"400", "nonsense\r\n\r\n"},
@@ -41,19 +41,19 @@
     };
 
     /**
-     * Clients send what is no HTTP, too long, or no transaction. Each is rejected with the status for it, none reaches
-     * an endpoint, and the others are served.
+     * Clients send requests that are not HTTP, are too long or are not transactions. Each is rejected with its status,
+     * none reaches an endpoint, and valid requests are still served.
      */
     @Test
-    void malformedRequestsGetA4xxAndServingGoesOn() throws Exception {
+    void malformedRequestsGetA4xxAndLaterRequestsAreServed() throws Exception {
         StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         serve();
-        for (String[] each : MALFORMED_REQUESTS) {
-            String got = client().ask(each[1]);
+        for (String[] malformed : MALFORMED_REQUESTS) {
+            String got = client().ask(malformed[1]);
             assertEquals(
-                    each[0],
+                    malformed[0],
                     got.length() < 12 ? got : got.substring(9, 12),
-                    each[1].substring(0, Math.min(80, each[1].length())));
+                    malformed[1].substring(0, Math.min(80, malformed[1].length())));
         }
         assertEquals(List.of(), endpoint.seen);
         assertTrue(client().ask(transaction("quote", "t", 500)).startsWith("HTTP/1.1 200 "));
@@ -67,8 +67,8 @@
     }
 
     /**
-     * A request has two lengths (request smuggling): who reads the other length finds a second transaction in the body.
-     * The request is rejected, and nothing behind it is read.
+     * Guards against request smuggling: a request has two conflicting lengths, and a server that uses the other length
+     * finds a second transaction in the body. The request is rejected, and nothing after it is read.
      */
     @Test
     void conflictingLengthsAreRejectedAndEndTheConnection() throws Exception {
@@ -89,28 +89,28 @@
     }
 
     /**
-     * A client repeats a transaction while it is still under way on another connection: it would run twice. The second
-     * is rejected until the first has been answered or its client has gone.
+     * A client repeats a transaction while the first request is open on another connection, so it would run twice. The
+     * second request is rejected until the first has its response or its client has disconnected.
      */
     @Test
-    void duplicateTraceIdIsRejectedWhileItsOwnerIsServed() throws Exception {
+    void duplicateTraceIdIsRejectedWhileTheFirstRequestIsOpen() throws Exception {
         StubEndpoint endpoint = endpoint(r -> {
             pause(500);
             return answer(200, "", "good");
         });
         serve();
-        TestClient owner = client();
-        owner.write(transaction("post-charge", "t", 2_000));
+        TestClient firstClient = client();
+        firstClient.write(transaction("post-charge", "t", 2_000));
         eventually(() -> endpoint.saw("t"));
         for (int i = 0; i < 2; i++) {
             assertTrue(client().ask(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 409 "));
         }
-        assertTrue(owner.read().startsWith("HTTP/1.1 200 "));
+        assertTrue(firstClient.read().startsWith("HTTP/1.1 200 "));
         assertEquals(1, endpoint.seen.size());
-        assertTrue(owner.ask(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 200 "));
-        owner.write(transaction("post-charge", "t", 2_000));
+        assertTrue(firstClient.ask(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 200 "));
+        firstClient.write(transaction("post-charge", "t", 2_000));
         eventually(() -> endpoint.seen.size() == 3);
-        owner.close();
+        firstClient.close();
         eventually(() -> counters().getLong("clients_left") == 1);
         assertTrue(client().ask(transaction("post-charge", "t", 2_000)).startsWith("HTTP/1.1 200 "));
     }
--- a/sidecar/src/test/java/trestlegrade/integration/RequestForwardingIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/RequestForwardingIT.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Transactions on their way to an endpoint and back. */
+/** Forwarding of requests to endpoints and of responses to clients. */
 class RequestForwardingIT extends SidecarFixture {
     /**
-     * A proxy that decodes and encodes again changes what it forwards: escapes in the target, bytes above ASCII, a
-     * body. All but the headers of the connection itself goes on as the bytes that came, and the deadline as what is
-     * left of it.
+     * A proxy that decodes and re-encodes messages changes escapes in the target, non-ASCII bytes and bodies. The
+     * sidecar must forward the received bytes, except for the headers of the connection itself and the timeout, of which
+     * the remaining part is forwarded.
      */
     @Test
     void forwardsTargetHeadersAndBodyUnchanged() throws Exception {
         StubEndpoint endpoint =
                 endpoint(r -> answer(200, "Content-Type: text/x-own\r\nKeep-Alive: timeout=5\r\n", "served \u00e9\n"));
         serve();
-        // The log is written on a thread of its own, behind the moment at which the sidecar calls itself healthy.
+        // The log is written by another thread, so this line may appear after the health check succeeds.
         eventually(() -> log().matches("(?s).*code=ready warm_up_requests=[1-9]\\d* .*"));
         assertEquals(List.of(), endpoint.seen);
         assertEquals(0, counters().getLong("accepted"));
@@ -38,46 +38,46 @@
                 + "X-Qos: post-charge\r\nX-Expires-In: 900m\r\nContent-Type: a/b\r\nX-Own: 1\r\n"
                 + "Connection: keep-alive, X-Own\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\nserved \u00e9\n"), got);
-        String seen = endpoint.seen.get(0);
-        assertTrue(seen.startsWith("POST " + target + " HTTP/1.1\r\n"), seen.substring(0, 200));
-        assertTrue(seen.endsWith("\r\n\r\n" + body));
-        assertEquals("a-\u00e9-1", header(seen, "X-Trace-Id"));
-        assertEquals("a/b", header(seen, "Content-Type"));
-        assertNull(header(seen, "X-Own"));
+        String forwarded = endpoint.seen.get(0);
+        assertTrue(forwarded.startsWith("POST " + target + " HTTP/1.1\r\n"), forwarded.substring(0, 200));
+        assertTrue(forwarded.endsWith("\r\n\r\n" + body));
+        assertEquals("a-\u00e9-1", header(forwarded, "X-Trace-Id"));
+        assertEquals("a/b", header(forwarded, "Content-Type"));
+        assertNull(header(forwarded, "X-Own"));
         assertEquals("text/x-own", header(got, "Content-Type"));
         assertNull(header(got, "Keep-Alive"));
-        long left = Long.parseLong(header(seen, "X-Expires-In").replace("u", ""));
-        assertTrue(left > 100_000 && left <= 900_000, "left " + left);
+        long remainingMicros = Long.parseLong(header(forwarded, "X-Expires-In").replace("u", ""));
+        assertTrue(remainingMicros > 100_000 && remainingMicros <= 900_000, "remaining: " + remainingMicros);
         got = client().ask("GET /quote HTTP/1.1\r\nHost: h\r\nX-Trace-Id: a2\r\n\r\n");
         assertTrue(got.startsWith("HTTP/1.1 200 "), got);
         assertNull(header(endpoint.seen.get(1), "Content-Length"));
     }
 
     /**
-     * The only endpoint takes a request and never answers. The client is answered before its deadline, and what may not
-     * be repeated is not sent again.
+     * The only endpoint accepts a request and never responds. The client gets a response before its deadline, and a
+     * request that must not be repeated is not sent again.
      */
     @ParameterizedTest
     @CsvSource({"quote, 503", "post-charge, 502"})
-    void answersBeforeTheDeadlineWhenTheEndpointIsSilent(String profile, int status) throws Exception {
+    void respondsBeforeTheDeadlineWhenTheEndpointIsSilent(String profile, int status) throws Exception {
         StubEndpoint silent = endpoint(r -> HANG);
         serve();
         long start = System.nanoTime();
         String got = client().ask(transaction(profile, "t", 1_200));
         long took = (System.nanoTime() - start) / 1_000_000;
         assertEquals(status, Integer.parseInt(got.substring(9, 12)));
-        // A quarter of the wait is kept for a loop that stands still when the answer is due.
+        // A quarter of the timeout is reserved for an event loop stall at the time when the response is due.
         assertTrue(took >= 800 && took <= 1_150, "after " + took + " ms");
         eventually(() -> silent.ended.size() == 1);
         assertEquals(1, silent.seen.size());
     }
 
     /**
-     * A client closes while its attempt is under way. The attempt is cancelled, so that it holds no connection for
-     * nobody.
+     * A client disconnects while its attempt is in flight. The attempt is cancelled, so that it does not hold a
+     * connection whose response nobody needs.
      */
     @Test
-    void cancelsTheAttemptOfAClientThatLeft() throws Exception {
+    void cancelsTheAttemptOfADisconnectedClient() throws Exception {
         StubEndpoint silent = endpoint(r -> HANG);
         serve();
         TestClient client = client();
@@ -89,11 +89,11 @@
     }
 
     /**
-     * A sidecar that starts with an empty list can serve nobody. It says so, and rejects what comes, until the list
-     * brings an endpoint.
+     * A sidecar that starts with an empty endpoint list cannot serve requests. Its health check fails and it rejects
+     * requests until the list has an endpoint.
      */
     @Test
-    void isHealthyOnlyOnceItKnowsAnEndpoint() throws Exception {
+    void isHealthyOnlyOnceAnEndpointIsListed() throws Exception {
         StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
         known = new JsonArray();
         start();
