--- a/sidecar/src/test/java/trestlegrade/integration/ScaleIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ScaleIT.java
@@ -34,20 +34,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** As many endpoints and zones as the operators may list, with as many connections as the settings allow. */
+/** The maximum number of endpoints and zones that operators may list, with all connections that the settings allow. */
 @Isolated("takes all cores for some seconds, and others time what they see")
 class ScaleIT extends SidecarFixture {
-    private static final int MANY = 1_024;
-    private static final int LIMIT_MB = 192;
+    private static final int ENDPOINTS = 1_024;
+    private static final int MEMORY_LIMIT_MB = 192;
 
-    /** All endpoints, each at an address of loopback of its own, on one thread; requests have no bodies. */
+    /** All endpoints on one thread, each at its own loopback address. They expect requests without bodies. */
     private static final class Fleet implements AutoCloseable, Runnable {
-        private static final byte[] ANSWER = HttpText.answer(200, "", "good").getBytes(StandardCharsets.ISO_8859_1);
+        private static final byte[] RESPONSE = HttpText.answer(200, "", "good").getBytes(StandardCharsets.ISO_8859_1);
 
         private final Selector selector = Selector.open();
         private final List<ServerSocketChannel> listeners = new ArrayList<>();
-        final Set<Integer> met = ConcurrentHashMap.newKeySet();
-        final AtomicInteger open = new AtomicInteger();
+        final Set<Integer> reached = ConcurrentHashMap.newKeySet();
+        final AtomicInteger openConnections = new AtomicInteger();
 
         Fleet(int endpoints) throws IOException {
             for (int i = 0; i < endpoints; i++) {
@@ -88,9 +88,9 @@
                             channel.configureBlocking(false);
                             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
                             channel.register(selector, SelectionKey.OP_READ, key.attachment());
-                            open.incrementAndGet();
+                            openConnections.incrementAndGet();
                         } else {
-                            answer((SocketChannel) key.channel(), (Integer) key.attachment(), bytes);
+                            respond((SocketChannel) key.channel(), (Integer) key.attachment(), bytes);
                         }
                     }
                     selector.selectedKeys().clear();
@@ -100,22 +100,22 @@
             }
         }
 
-        private void answer(SocketChannel channel, int endpoint, ByteBuffer bytes) {
+        private void respond(SocketChannel channel, int endpoint, ByteBuffer bytes) {
             try {
                 bytes.clear();
                 if (channel.read(bytes) < 0) {
                     channel.close();
-                    open.decrementAndGet();
+                    openConnections.decrementAndGet();
                     return;
                 }
                 String got =
                         new String(bytes.array(), bytes.arrayOffset(), bytes.position(), StandardCharsets.ISO_8859_1);
                 if (got.endsWith("\r\n\r\n")) {
-                    met.add(endpoint);
-                    channel.write(ByteBuffer.wrap(ANSWER));
+                    reached.add(endpoint);
+                    channel.write(ByteBuffer.wrap(RESPONSE));
                 }
             } catch (IOException e) {
-                open.decrementAndGet();
+                openConnections.decrementAndGet();
             }
         }
 
@@ -128,17 +128,17 @@
         }
     }
 
-    /** Each of these is committed; eight clients at once. */
-    private void transactions(int number, String trace) throws Exception {
+    /** Sends this number of transactions from eight concurrent clients. Each must be committed. */
+    private void commitTransactions(int count, String tracePrefix) throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(8);
         try {
-            List<Future<Void>> done = new ArrayList<>();
+            List<Future<Void>> results = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                String name = trace + i + "-";
+                String clientPrefix = tracePrefix + i + "-";
                 Callable<Void> work = () -> {
                     TestClient client = new TestClient(port);
-                    for (int j = 0; j < number / 8; j++) {
-                        String got = client.ask(transaction("quote", name + j, 9_000));
+                    for (int j = 0; j < count / 8; j++) {
+                        String got = client.ask(transaction("quote", clientPrefix + j, 9_000));
                         assertTrue(got.startsWith("HTTP/1.1 200 "), got);
                         if ("close".equalsIgnoreCase(header(got, "Connection"))) {
                             client.close();
@@ -148,18 +148,18 @@
                     client.close();
                     return null;
                 };
-                done.add(clients.submit(work));
+                results.add(clients.submit(work));
             }
-            for (Future<Void> each : done) {
-                each.get();
+            for (Future<Void> result : results) {
+                result.get();
             }
         } finally {
             clients.shutdownNow();
         }
     }
 
-    /** While nothing changes, a watch brings an empty line at regular times. */
-    private void beats() {
+    /** Sends an empty line at regular intervals, as discovery does while nothing changes. */
+    private void sendHeartbeats() {
         Thread thread = new Thread(() -> {
             try {
                 while (true) {
@@ -185,29 +185,29 @@
                 >> 10;
     }
 
-    /** Every one is used, what the list says of half of them holds, and all of it fits into the memory. */
+    /** All endpoints are used, half of them drain when the list says so, and the memory limit is kept. */
     @Test
-    void aThousandEndpointsAndTheirConnections() throws Exception {
-        sockets = 4 * MANY;
+    void thousandEndpointsAreUsedWithinTheMemoryLimit() throws Exception {
+        sockets = 4 * ENDPOINTS;
         patient();
         settings().put("n_instances", 120);
         known = new JsonArray();
-        Fleet fleet = new Fleet(MANY);
+        Fleet fleet = new Fleet(ENDPOINTS);
         opened.add(fleet);
         start();
         eventually(() -> discovery.seen.size() == 1);
-        sendWholeList(fleet);
-        beats();
+        sendFullList(fleet);
+        sendHeartbeats();
         within(10_000, () -> health() == 200);
-        transactions(12 * MANY, "t");
-        assertTrue(fleet.met.size() > MANY * 99 / 100, "met " + fleet.met.size());
-        int pooled = fleet.open.get();
-        // Beside what is pooled, as many silent clients as there is room for before the first is ended.
-        for (int i = 0; i < MANY; i++) {
+        commitTransactions(12 * ENDPOINTS, "t");
+        assertTrue(fleet.reached.size() > ENDPOINTS * 99 / 100, fleet.reached.size() + " endpoints reached");
+        int pooled = fleet.openConnections.get();
+        // Adds as many silent clients as fit beside the pooled connections before the sidecar closes the first.
+        for (int i = 0; i < ENDPOINTS; i++) {
             client();
         }
-        transactions(MANY, "u");
-        JsonObject[] leaving = new JsonObject[MANY / 2];
+        commitTransactions(ENDPOINTS, "u");
+        JsonObject[] leaving = new JsonObject[ENDPOINTS / 2];
         for (int i = 0; i < leaving.length; i++) {
             leaving[i] = fleet.entry(i, "leaving");
         }
@@ -215,22 +215,23 @@
             discovery.line(list(9, false, leaving));
         }
         eventually(() -> counters().getLong("list_lines", 0L) == 2);
-        fleet.met.clear();
-        transactions(4 * MANY, "v");
-        Set<Integer> drained = new HashSet<>(fleet.met);
+        fleet.reached.clear();
+        commitTransactions(4 * ENDPOINTS, "v");
+        Set<Integer> drained = new HashSet<>(fleet.reached);
         drained.removeIf(i -> i >= leaving.length);
         assertEquals(Set.of(), drained);
         long peak = peakMegabytes();
-        System.out.println("sizes: " + MANY + " endpoints, " + pooled + " pooled connections, peak of " + peak + " MB");
-        assertTrue(pooled > MANY / 2, pooled + " pooled");
-        assertTrue(peak < LIMIT_MB, peak + " MB of " + LIMIT_MB);
+        System.out.println(
+                "sizes: " + ENDPOINTS + " endpoints, " + pooled + " pooled connections, peak of " + peak + " MB");
+        assertTrue(pooled > ENDPOINTS / 2, pooled + " pooled");
+        assertTrue(peak < MEMORY_LIMIT_MB, peak + " MB of " + MEMORY_LIMIT_MB);
         assertEquals(0L, counters().getLong("no_descriptor"));
     }
 
-    /** In pieces, as a long list comes. */
-    private void sendWholeList(Fleet fleet) throws IOException {
+    /** Sends the list in pieces, because a long list arrives in pieces. */
+    private void sendFullList(Fleet fleet) throws IOException {
         List<JsonObject> all = new ArrayList<>();
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < ENDPOINTS; i++) {
             all.add(fleet.entry(i, "active"));
         }
         String text = new JsonObject(list(8, true, all.toArray(JsonObject[]::new))).encodePrettily() + "\n";
--- a/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
@@ -19,56 +19,56 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** New settings are loaded by SIGHUP into a program that serves. */
+/** SIGHUP loads new settings while the sidecar serves requests. */
 class SettingsReloadIT extends SidecarFixture {
     private static final int ROUNDS = 4;
     private static final int CLIENTS = 4;
-    private static final int TRANSACTIONS_OF_A_CLIENT = 60;
+    private static final int TRANSACTIONS_PER_CLIENT = 60;
 
-    /** Each holds back the slow transaction of a round until that round's settings are in use. */
+    /** Each delays the slow transaction of a round until the settings of that round are in use. */
     private final List<Gate> gates = Stream.generate(Gate::new).limit(ROUNDS).toList();
 
-    /** Transactions that ended in a way that no reload excuses. */
-    private final List<String> wrong = new CopyOnWriteArrayList<>();
+    /** Responses that a reload must not cause. */
+    private final List<String> unexpectedResponses = new CopyOnWriteArrayList<>();
 
     /**
-     * Settings change under load, in both directions. A transaction that is lost, answered twice or judged by the wrong
-     * settings then shows as a client without its own answer or as an id that reached the endpoints twice. All that is
-     * taken gets one answer and goes out once, what is open ends under the terms it was taken under, and drains hold
-     * for it too.
+     * Settings change under load, in both directions. A transaction that is lost, gets two responses or is handled
+     * under the wrong settings shows as a client without its own response or as a trace id that reached the endpoints
+     * twice. Each accepted transaction must get one response and be sent once. An open transaction ends under the
+     * settings under which it was accepted, and draining applies to it too.
      */
     @Test
-    void newSettingsLoadUnderLoadWithoutLosingATransaction() throws Exception {
+    void reloadsUnderLoadLoseNoTransaction() throws Exception {
         startTwoZones();
         Path file = dir.resolve("config.json");
-        String before = Files.readString(file);
-        JsonObject moved = otherSettings(before);
+        String originalConfig = Files.readString(file);
+        JsonObject changedConfig = withOtherSettings(originalConfig);
         TestClient slow = client();
         for (int round = 0; round < ROUNDS; round++) {
-            boolean there = round % 2 == 0;
-            // As discovery does while nothing changes: a watch that is silent for 4.5 s is begun anew.
+            boolean changed = round % 2 == 0;
+            // Discovery sends an empty line while nothing changes: a watch that is silent for 4.5 s is reopened.
             discovery.line("");
-            String held = "slow" + round;
-            slow.write(transaction("post-charge", held, 30_000));
-            eventually(() -> endpoints.stream().anyMatch(e -> e.saw(held)));
-            List<Thread> busy = startLoad(round);
+            String slowTrace = "slow" + round;
+            slow.write(transaction("post-charge", slowTrace, 30_000));
+            eventually(() -> endpoints.stream().anyMatch(e -> e.saw(slowTrace)));
+            List<Thread> loadThreads = startLoad(round);
             pause(30);
-            Files.writeString(file, there ? moved.encode() : before);
+            Files.writeString(file, changed ? changedConfig.encode() : originalConfig);
             signal("HUP");
-            int adopted = round + 1;
-            eventually(() -> log().split("code=adopted open=[1-9]", -1).length == adopted + 1);
+            int reloads = round + 1;
+            eventually(() -> log().split("code=adopted open=[1-9]", -1).length == reloads + 1);
             gates.get(round).open();
-            profileIsKnownOnlyWithTheNewSettings(round, there);
-            for (Thread each : busy) {
-                each.join();
+            assertProfileExistsOnlyInTheChangedSettings(round, changed);
+            for (Thread thread : loadThreads) {
+                thread.join();
             }
-            assertEquals(List.of(), wrong);
+            assertEquals(List.of(), unexpectedResponses);
             assertTrue(slow.read().endsWith("slow" + round));
-            trafficFollowsTheZone(round, there);
+            assertTrafficFollowsTheHomeZone(round, changed);
         }
-        reloadWithoutChangesStartsNothingAnew();
-        everythingWentOutOnce();
-        drainReachesWhatWasTakenBefore(slow, file, moved);
+        reloadWithoutChanges();
+        assertEachTransactionWasSentOnce();
+        assertDrainAppliesToOpenTransactions(slow, file, changedConfig);
     }
 
     private void startTwoZones() throws Exception {
@@ -82,17 +82,17 @@
                 return answer(200, "", trace);
             });
         }
-        // What is open while the settings change is open until they have, however slow the machine is.
+        // Keeps transactions open until the settings have changed, even on a slow machine.
         settings().getJsonArray("profiles").getJsonObject(1).put("hard_limit", 40_000);
         known = new JsonArray().add(entry(0, "active")).add(entry(1, "active").put("zone", "b"));
         serve();
         eventually(() -> discovery.seen.size() == 1);
     }
 
-    /** The configuration with a different home zone, a profile more, and other values of what may change. */
-    private static JsonObject otherSettings(String configuration) {
-        JsonObject moved = new JsonObject(configuration);
-        JsonObject settings = moved.getJsonObject("settings")
+    /** The configuration with another home zone, another profile and other values of the reloadable settings. */
+    private static JsonObject withOtherSettings(String configuration) {
+        JsonObject changed = new JsonObject(configuration);
+        JsonObject settings = changed.getJsonObject("settings")
                 .put("azs", new JsonArray().add("c").add("b").add("a"))
                 .put("zone", 1)
                 .put("n_instances", 300)
@@ -104,79 +104,83 @@
         settings.getJsonObject("ceilings").put("retry_after", false);
         settings.getJsonArray("profiles")
                 .add(settings.getJsonArray("profiles").getJsonObject(0).copy().put("name", "cert"));
-        return moved;
+        return changed;
     }
 
     private List<Thread> startLoad(int round) throws Exception {
-        AtomicInteger at = new AtomicInteger(round * 1_000);
-        List<Thread> busy = new ArrayList<>();
+        AtomicInteger nextTrace = new AtomicInteger(round * 1_000);
+        List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             TestClient client = client();
             Thread thread = new Thread(() -> {
-                for (int n = 0; n < TRANSACTIONS_OF_A_CLIENT; n++) {
-                    String trace = "t" + at.getAndIncrement();
+                for (int n = 0; n < TRANSACTIONS_PER_CLIENT; n++) {
+                    String trace = "t" + nextTrace.getAndIncrement();
                     String got = client.tries(transaction(n % 2 == 0 ? "quote" : "post-charge", trace, 900));
-                    // On a machine that stalls some may be rolled back; none is lost, mixed up or unsure.
+                    // If the machine stalls, transactions may be rolled back, but none may be lost, get the response
+                    // of another one or have an unknown outcome.
                     if (!got.endsWith(trace) && !got.startsWith("HTTP/1.1 503 ")) {
-                        wrong.add(round + " " + got);
+                        unexpectedResponses.add(round + " " + got);
                     }
                 }
             });
-            busy.add(thread);
+            threads.add(thread);
             thread.start();
         }
-        return busy;
+        return threads;
     }
 
-    private void profileIsKnownOnlyWithTheNewSettings(int round, boolean there) throws Exception {
+    private void assertProfileExistsOnlyInTheChangedSettings(int round, boolean changed) throws Exception {
         String got = client().ask(transaction("cert", "c" + round, 900));
-        assertTrue(got.startsWith(there ? "HTTP/1.1 200 " : "HTTP/1.1 404 "), got);
+        assertTrue(got.startsWith(changed ? "HTTP/1.1 200 " : "HTTP/1.1 404 "), got);
     }
 
-    /** Zones keep their names, though the settings list them in another order. */
-    private void trafficFollowsTheZone(int round, boolean there) throws Exception {
+    /** Zones are identified by their names, although the changed settings list them in another order. */
+    private void assertTrafficFollowsTheHomeZone(int round, boolean changed) throws Exception {
         int before = endpoints.get(0).seen.size();
         TestClient client = client();
         for (int n = 0; n < 20; n++) {
             assertTrue(
                     client.ask(transaction("quote", "z" + round + "-" + n, 900)).startsWith("HTTP/1.1 200 "));
         }
-        int away = endpoints.get(0).seen.size() - before;
-        assertTrue(there ? away == 0 : away > 0, "in round " + round + " " + away + " went to the other zone");
+        int zoneACount = endpoints.get(0).seen.size() - before;
+        assertTrue(
+                changed ? zoneACount == 0 : zoneACount > 0,
+                "round " + round + ": " + zoneACount + " requests went to zone a");
     }
 
-    private void reloadWithoutChangesStartsNothingAnew() throws Exception {
+    /** Reloading unchanged settings must not adopt settings or open a watch, which the next assertions count. */
+    private void reloadWithoutChanges() throws Exception {
         signal("HUP");
         eventually(() -> log().split("reload code=read ", -1).length == 6);
     }
 
-    private void everythingWentOutOnce() {
-        List<String> once = endpoints.stream()
+    private void assertEachTransactionWasSentOnce() {
+        List<String> traces = endpoints.stream()
                 .flatMap(e -> e.seen.stream())
                 .filter(r -> r.startsWith("POST"))
                 .map(r -> header(r, "X-Trace-Id"))
                 .toList();
-        assertEquals(once.size(), once.stream().distinct().count(), "sent twice");
-        assertTrue(once.size() > 400, "only " + once.size());
+        assertEquals(traces.size(), traces.stream().distinct().count(), "a transaction was sent twice");
+        assertTrue(traces.size() > 400, "only " + traces.size() + " transactions");
         assertEquals(5, log().split("code=adopted", -1).length);
         assertEquals(1, discovery.seen.size());
-        JsonObject counted = counters();
-        assertEquals(counted.getLong("accepted"), counted.getLong("committed") + counted.getLong("rolled_back"));
+        JsonObject counts = counters();
+        assertEquals(counts.getLong("accepted"), counts.getLong("committed") + counts.getLong("rolled_back"));
     }
 
-    /** What was taken under the settings before hears of a drain as well. */
-    private void drainReachesWhatWasTakenBefore(TestClient slow, Path file, JsonObject moved) throws Exception {
+    /** A transaction that was accepted under the previous settings is not sent to a draining endpoint either. */
+    private void assertDrainAppliesToOpenTransactions(TestClient slow, Path file, JsonObject config) throws Exception {
         slow.write(transaction("quote", "slow-last", 2_000));
         eventually(() -> endpoints.stream().anyMatch(e -> e.saw("slow-last")));
-        int holder = endpoints.get(0).saw("slow-last") ? 0 : 1;
-        Files.writeString(file, moved.encode());
+        int current = endpoints.get(0).saw("slow-last") ? 0 : 1;
+        Files.writeString(file, config.encode());
         signal("HUP");
         eventually(() -> log().split("code=adopted", -1).length == 6);
-        discovery.line(list(8, false, entry(1 - holder, "leaving")));
+        discovery.line(list(8, false, entry(1 - current, "leaving")));
         eventually(() -> counters().getLong("list_lines") == 1);
-        int seen = endpoints.get(1 - holder).seen.size();
-        endpoints.get(holder).dropAll();
+        int seenBefore = endpoints.get(1 - current).seen.size();
+        endpoints.get(current).dropAll();
         assertTrue(slow.read().startsWith("HTTP/1.1 "));
-        assertEquals(seen, endpoints.get(1 - holder).seen.size());
+        assertEquals(seenBefore, endpoints.get(1 - current).seen.size());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/SigtermIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SigtermIT.java
@@ -15,9 +15,12 @@
 
 /** SIGTERM while clients are served. */
 class SigtermIT extends SidecarFixture {
-    /** Nobody else serves these clients: all goes on until the end is near, and what is taken last is answered. */
+    /**
+     * No other process serves these clients, so the sidecar serves them until shortly before its exit. The last
+     * accepted transactions get a response too.
+     */
     @Test
-    void allThatWasTakenAndStillComesIsAnswered() throws Exception {
+    void openAndNewTransactionsGetAResponseAfterSigterm() throws Exception {
         StubEndpoint slow = endpoint(r -> {
             pause(r.contains("/post-charge") ? 1_000 : 10);
             return r.contains("silent") ? HANG : answer(200, "", "good");
@@ -46,16 +49,16 @@
                 last);
         assertEquals("", idle.read());
         assertTrue(endsWithin(2_000));
-        assertTrue(watch.milliseconds() < 3_700, "ends before it is killed");
+        assertTrue(watch.milliseconds() < 3_700, "the process exits before it is killed");
         assertEquals(0, process.exitValue());
         String log = Files.readString(dir.resolve("log"));
         assertTrue(log.contains("code=ended") && log.contains("\"accepted\":6,\"committed\":5"), log);
     }
 
-    /** Clients that wait longer than the program is left alive get their one answer before its end all the same. */
+    /** Clients whose timeout is after the exit of the process get their one response before the exit. */
     @Test
-    void transactionsThatWouldOutliveTheProcessAreAnswered() throws Exception {
-        StubEndpoint mute = endpoint(r -> HANG);
+    void transactionsThatWouldOutliveTheProcessGetAResponse() throws Exception {
+        StubEndpoint silent = endpoint(r -> HANG);
         settings()
                 .put(
                         "profiles",
@@ -67,19 +70,19 @@
         TestClient[] clients = {client(), client()};
         clients[0].write(transaction("post-charge", "t0", 9_000));
         clients[1].write(transaction("quote", "t1", 9_000));
-        eventually(() -> mute.saw("t0") && mute.saw("t1"));
+        eventually(() -> silent.saw("t0") && silent.saw("t1"));
         Stopwatch watch = new Stopwatch();
         process.destroy();
         assertTrue(clients[0].read().startsWith("HTTP/1.1 502 "));
         assertTrue(clients[1].read().startsWith("HTTP/1.1 503 "));
         assertTrue(endsWithin(2_000));
-        assertTrue(watch.milliseconds() < 3_700, "ends before it is killed");
+        assertTrue(watch.milliseconds() < 3_700, "the process exits before it is killed");
         assertEquals(0, process.exitValue());
     }
 
-    /** The program waits for the connections of its clients, and not for longer. */
+    /** The process waits until its clients have disconnected, and no longer. */
     @Test
-    void endsAsSoonAsItsClientsHave() throws Exception {
+    void exitsAsSoonAsItsClientsHaveDisconnected() throws Exception {
         endpoint(r -> answer(200, "", "good"));
         serve();
         TestClient client = client();
--- a/sidecar/src/test/java/trestlegrade/integration/SlowClientsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SlowClientsIT.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Clients that stop in the midst of a request. */
+/** Clients that stop in the middle of a request. */
 class SlowClientsIT extends SidecarFixture {
     /**
-     * Clients send half a request, or nothing, and keep their connection. Whatever a client leaves unfinished is ended
-     * in 3 s; what it has finished is answered however late.
+     * Clients send a part of a request, or nothing, and keep their connection open. The connection is ended within 3 s.
+     * A complete request gets its response, however late.
      */
     @ParameterizedTest
     @CsvSource(
@@ -28,29 +28,29 @@
                 "AGAIN|''"
             },
             delimiter = '|')
-    void unfinishedRequestsAreEndedInTime(String sent, String status) throws Exception {
+    void connectionsWithUnfinishedRequestsAreEndedInTime(String sent, String status) throws Exception {
         StubEndpoint endpoint = endpoint(r -> {
             pause(r.contains("/post-charge") ? 2_100 : 0);
             return answer(200, "", "good");
         });
         serve();
-        TestClient usual = client();
-        usual.write(transaction("post-charge", "t", 3_000));
-        TestClient bad = client();
+        TestClient regularClient = client();
+        regularClient.write(transaction("post-charge", "t", 3_000));
+        TestClient slowClient = client();
         if (sent.equals("AGAIN")) {
-            assertTrue(bad.ask(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
+            assertTrue(slowClient.ask(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
         } else {
-            bad.write(sent.replace("\\r", "\r").replace("\\n", "\n"));
+            slowClient.write(sent.replace("\\r", "\r").replace("\\n", "\n"));
         }
         long start = System.nanoTime();
-        String got = bad.read();
+        String got = slowClient.read();
         assertEquals(status, got.length() < 12 ? got : got.substring(9, 12));
         if (!got.isEmpty()) {
-            assertEquals("", bad.read());
+            assertEquals("", slowClient.read());
         }
         long took = (System.nanoTime() - start) / 1_000_000;
         assertTrue(took < 2_800, "after " + took + " ms");
-        assertTrue(usual.read().startsWith("HTTP/1.1 200 "));
+        assertTrue(regularClient.read().startsWith("HTTP/1.1 200 "));
         assertEquals(sent.equals("AGAIN") ? 2 : 1, endpoint.seen.size());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/SoakIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SoakIT.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import trestlegrade.lab.soak.Soak;
 
-/** A few short runs of the soak; long ones are started by hand (docs/soak.md). */
+/** Short runs of the soak test; long runs are started manually (docs/soak.md). */
 @Isolated("starts several processes at once")
 @Timeout(120)
 class SoakIT {
