--- a/sidecar/src/test/java/trestlegrade/integration/StaleEndpointListIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StaleEndpointListIT.java
@@ -21,69 +21,71 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Seen: in a fleet of a hundred, processes that had been restarted sent to servers 1.05 s and more after these counted
- * as told to drain. Discovery had too many callers: it took each call of theirs and refused it after 2 s, three times
- * in 8 s. Cause: nothing ended the right to send by a list that nobody had confirmed for a long time; a longer or
- * shorter back-off only moved the odds. Proved by the replay (the watch lines of the log have refusals alone, no line
- * of a list came) and by the discovery below, which refuses every call: the program went on for ever.
+ * In a fleet of 100, restarted processes sent requests to endpoints 1.05 s and more after the draining of these
+ * endpoints counted as notified. Discovery was overloaded by callers: it accepted each call of these processes and
+ * rejected it after 2 s, three times in 8 s. The cause was that nothing ended the right to send to the endpoints of a
+ * list that had not been confirmed for a long time; a longer or shorter backoff only changed the odds. The replay
+ * showed it, because the watch lines of the log contain rejections only and no line of a list arrived. So does the stub
+ * discovery below, which rejects every call: the process kept sending forever.
  */
 class StaleEndpointListIT extends SidecarFixture {
-    /** A change counts as told so long after discovery had it, whatever failed. */
-    private static final long TOLD_MS = 6_000;
+    /** A change counts as notified this long after discovery had it, regardless of failures. */
+    private static final long NOTIFICATION_DELAY_MS = 6_000;
 
-    private static final long GRACE_MS = 1_000;
-    private static final long TURN_MS = 2_000;
+    private static final long DRAIN_GRACE_MS = 1_000;
+    private static final long REJECTION_DELAY_MS = 2_000;
 
-    /** When the endpoints were reached, in milliseconds. */
-    private final List<Long> reached = new CopyOnWriteArrayList<>();
+    /** When requests reached the endpoints, in milliseconds. */
+    private final List<Long> reachedAt = new CopyOnWriteArrayList<>();
 
-    private final List<Long> refusedAfter = new CopyOnWriteArrayList<>();
+    /** How long rejected requests took, in milliseconds. */
+    private final List<Long> rejectionMillis = new CopyOnWriteArrayList<>();
     private volatile boolean sending = true;
-    /** Whether an endpoint drains: it turns away whatever is new. */
+    /** Whether the first endpoint drains: it rejects new requests. */
     private volatile boolean firstDrains;
 
     private volatile boolean secondDrains;
-    private final StubEndpoint first = endpoint(r -> reach(firstDrains));
-    private final StubEndpoint second = endpoint(r -> reach(secondDrains));
+    private final StubEndpoint first = endpoint(r -> respond(firstDrains));
+    private final StubEndpoint second = endpoint(r -> respond(secondDrains));
 
-    private String reach(boolean drains) {
-        reached.add(millis());
-        return drains ? answer(503, "X-Never-Ran: 1\r\n", "") : answer(200, "", "good");
+    private String respond(boolean draining) {
+        reachedAt.add(nowMillis());
+        return draining ? answer(503, "X-Never-Ran: 1\r\n", "") : answer(200, "", "good");
     }
 
-    private void drain() {
+    private void drainBothEndpoints() {
         firstDrains = true;
         secondDrains = true;
     }
 
-    private static long millis() {
+    private static long nowMillis() {
         return System.nanoTime() / 1_000_000;
     }
 
-    private static String refuseInTurn(String request) {
-        pause(TURN_MS);
+    private static String rejectAfterDelay(String request) {
+        pause(REJECTION_DELAY_MS);
         return answer(503, "", "");
     }
 
     @BeforeEach
-    void terms() {
+    void configure() {
         discovery.beats = false;
         patient();
-        settings().getJsonObject("safety").put("drain_grace", GRACE_MS);
+        settings().getJsonObject("safety").put("drain_grace", DRAIN_GRACE_MS);
     }
 
-    /** One transaction after the other on one connection, until the test ends. */
-    private void send() {
+    /** Sends transactions one after another on one connection until the test ends. */
+    private void startSending() {
         Thread thread = new Thread(() -> {
             int id = 0;
             while (sending) {
                 try (TestClient client = new TestClient(port)) {
                     for (boolean open = true; sending && open; pause(20)) {
-                        long asked = millis();
+                        long asked = nowMillis();
                         String got = client.ask(transaction("quote", "t" + ++id, 30_000));
                         open = !got.isEmpty();
                         if (got.startsWith("HTTP/1.1 503 ")) {
-                            refusedAfter.add(millis() - asked);
+                            rejectionMillis.add(nowMillis() - asked);
                         }
                     }
                 } catch (IOException | RuntimeException e) {
@@ -97,138 +99,141 @@
     }
 
     /**
-     * Both drain. The last attempt before a pause of two seconds was not begun past the grace, and refusals come at
-     * once.
+     * Both endpoints drain. The last attempt before a pause of 2 s must not have started after the drain grace, and
+     * requests must be rejected immediately.
      */
-    private void stopsBy(long latest) {
-        pause(Math.max(0, latest + 300 - millis()));
-        int until = reached.size();
-        refusedAfter.clear();
+    private void assertSendingStopsBy(long latest) {
+        pause(Math.max(0, latest + 300 - nowMillis()));
+        int sentCount = reachedAt.size();
+        rejectionMillis.clear();
         pause(2_000);
-        assertEquals(until, reached.size(), "sent on past the grace");
+        assertEquals(sentCount, reachedAt.size(), "requests were sent after the drain grace");
         assertTrue(
-                until > 0 && reached.get(until - 1) <= latest,
-                "last sent " + (reached.get(until - 1) - latest) + " ms late");
-        assertTrue(refusedAfter.size() > 10, refusedAfter.size() + " refused");
+                sentCount > 0 && reachedAt.get(sentCount - 1) <= latest,
+                "last request sent " + (reachedAt.get(sentCount - 1) - latest) + " ms late");
+        assertTrue(rejectionMillis.size() > 10, rejectionMillis.size() + " rejected");
         assertTrue(
-                refusedAfter.stream()
+                rejectionMillis.stream()
                                 .mapToLong(each -> each)
                                 .sorted()
-                                .skip(refusedAfter.size() / 2)
+                                .skip(rejectionMillis.size() / 2)
                                 .findFirst()
                                 .orElseThrow()
                         < 200,
-                "refused after " + refusedAfter);
+                "milliseconds until the rejections: " + rejectionMillis);
     }
 
-    /** It serves again once discovery does, and not by the server that drained meanwhile. */
-    private void servesAgain(StubDiscovery list) throws Exception {
-        list.answers = r -> HANG;
-        int before = list.seen.size();
-        eventually(() -> list.seen.size() > before);
-        int drained = first.seen.size();
+    /** Requests are served again once discovery responds, but not by the endpoint that drained in the meantime. */
+    private void assertServesAgain(StubDiscovery current) throws Exception {
+        current.answers = r -> HANG;
+        int callsBefore = current.seen.size();
+        eventually(() -> current.seen.size() > callsBefore);
+        int sentToDrained = first.seen.size();
         secondDrains = false;
-        list.write(list.connections.get() - 1, list(20, false, entry(0, "leaving")) + "\n");
-        int after = reached.size();
-        eventually(() -> reached.size() > after);
-        assertEquals(drained, first.seen.size());
+        current.write(current.connections.get() - 1, list(20, false, entry(0, "leaving")) + "\n");
+        int sentBefore = reachedAt.size();
+        eventually(() -> reachedAt.size() > sentBefore);
+        assertEquals(sentToDrained, first.seen.size());
     }
 
-    /** A new process that never had a word, a watch that ended, and one that is open and silent. */
+    /** The process is new and has received no data, or its watch has ended, or its watch is open but silent. */
     @ParameterizedTest
     @ValueSource(strings = {"new", "ended", "silent"})
-    void discoveryTurnsEveryCallAway(String watch) throws Exception {
+    void sendingStopsWhileDiscoveryRejectsEveryCall(String watch) throws Exception {
         if (watch.equals("new")) {
-            discovery.answers = StaleEndpointListIT::refuseInTurn;
+            discovery.answers = StaleEndpointListIT::rejectAfterDelay;
         }
-        long started = millis();
+        long started = nowMillis();
         serve();
-        long last = started;
+        long lastConfirmed = started;
         if (!watch.equals("new")) {
             discovery.line(list(8, false));
-            last = millis();
-            discovery.answers = StaleEndpointListIT::refuseInTurn;
+            lastConfirmed = nowMillis();
+            discovery.answers = StaleEndpointListIT::rejectAfterDelay;
         }
         if (watch.equals("ended")) {
             discovery.end(0, false);
         }
-        send();
-        // Well before the list is too old to be relied on.
-        within(3_000, () -> reached.size() > 10);
-        drain();
-        stopsBy(last + TOLD_MS + GRACE_MS);
-        servesAgain(discovery);
+        startSending();
+        // Well before the lease of the list expires.
+        within(3_000, () -> reachedAt.size() > 10);
+        drainBothEndpoints();
+        assertSendingStopsBy(lastConfirmed + NOTIFICATION_DELAY_MS + DRAIN_GRACE_MS);
+        assertServesAgain(discovery);
     }
 
-    /** One drains unheard of, and the other goes on being sent to for as long as it serves. */
+    /** One endpoint drains without a notification, and the other is used for as long as it serves requests. */
     @Test
-    void whatServesIsSentToWithoutDiscovery() throws Exception {
-        discovery.answers = StaleEndpointListIT::refuseInTurn;
-        long started = millis();
+    void servingEndpointIsUsedWithoutDiscovery() throws Exception {
+        discovery.answers = StaleEndpointListIT::rejectAfterDelay;
+        long started = nowMillis();
         serve();
-        send();
+        startSending();
         pause(1_000);
         firstDrains = true;
-        pause(started + TOLD_MS + GRACE_MS - millis());
-        int drained = first.seen.size();
-        int served = second.seen.size();
+        pause(started + NOTIFICATION_DELAY_MS + DRAIN_GRACE_MS - nowMillis());
+        int sentToFirst = first.seen.size();
+        int sentToSecond = second.seen.size();
         pause(8_000);
-        assertEquals(drained, first.seen.size());
-        assertTrue(second.seen.size() > served + 100, second.seen.size() - served + " served");
+        assertEquals(sentToFirst, first.seen.size());
+        assertTrue(second.seen.size() > sentToSecond + 100, second.seen.size() - sentToSecond + " served");
     }
 
-    /** Nothing can be told while discovery is down, so all go on; its return begins the count. */
+    /**
+     * No change can be notified while discovery is down, so all endpoints stay in use. The notification delay starts
+     * when discovery returns.
+     */
     @Test
-    void discoveryIsDownAndReturnsCrowded() throws Exception {
+    void sendingStopsOnlyAfterDiscoveryReturnsOverloaded() throws Exception {
         serve();
         discovery.line(list(8, false));
-        int place = discovery.port();
+        int discoveryPort = discovery.port();
         discovery.close();
-        send();
-        pause(TOLD_MS + GRACE_MS + 2_000);
-        int before = reached.size();
+        startSending();
+        pause(NOTIFICATION_DELAY_MS + DRAIN_GRACE_MS + 2_000);
+        int before = reachedAt.size();
         pause(500);
-        assertTrue(reached.size() > before, "served through the outage");
-        drain();
-        StubDiscovery back = new StubDiscovery(StaleEndpointListIT::refuseInTurn, place);
-        back.beats = false;
-        opened.add(back);
-        stopsBy(millis() + TOLD_MS + GRACE_MS);
-        servesAgain(back);
+        assertTrue(reachedAt.size() > before, "requests are served during the outage");
+        drainBothEndpoints();
+        StubDiscovery returned = new StubDiscovery(StaleEndpointListIT::rejectAfterDelay, discoveryPort);
+        returned.beats = false;
+        opened.add(returned);
+        assertSendingStopsBy(nowMillis() + NOTIFICATION_DELAY_MS + DRAIN_GRACE_MS);
+        assertServesAgain(returned);
     }
 
-    /** What discovery has at another place counts as told 4 s after the signal. */
+    /** Changes that discovery has at a new address count as notified 4 s after SIGHUP. */
     @Test
-    void discoveryMovedToAPlaceThatTurnsEveryCallAway() throws Exception {
+    void sendingStopsAfterMovingToADiscoveryThatRejectsEveryCall() throws Exception {
         serve();
         discovery.line(list(8, false));
-        StubDiscovery elsewhere = new StubDiscovery(StaleEndpointListIT::refuseInTurn);
-        elsewhere.beats = false;
-        opened.add(elsewhere);
-        send();
+        StubDiscovery newDiscovery = new StubDiscovery(StaleEndpointListIT::rejectAfterDelay);
+        newDiscovery.beats = false;
+        opened.add(newDiscovery);
+        startSending();
         pause(200);
-        drain();
+        drainBothEndpoints();
         Path file = dir.resolve("config.json");
         Files.writeString(
                 file,
                 new JsonObject(Files.readString(file))
-                        .put("discovery", "127.0.0.1:" + elsewhere.port())
+                        .put("discovery", "127.0.0.1:" + newDiscovery.port())
                         .encode());
         signal("HUP");
-        stopsBy(millis() + 4_000 + GRACE_MS);
-        servesAgain(elsewhere);
+        assertSendingStopsBy(nowMillis() + 4_000 + DRAIN_GRACE_MS);
+        assertServesAgain(newDiscovery);
     }
 
-    /** A watch that says that nothing changes keeps all going for good. */
+    /** A watch that reports no changes keeps all endpoints in use indefinitely. */
     @Test
-    void aWatchThatIsQuietButAlive() throws Exception {
+    void sendingContinuesWhileTheWatchReportsNoChanges() throws Exception {
         discovery.beats = true;
         serve();
-        send();
-        pause(TOLD_MS + GRACE_MS + 2_000);
-        int before = reached.size();
+        startSending();
+        pause(NOTIFICATION_DELAY_MS + DRAIN_GRACE_MS + 2_000);
+        int before = reachedAt.size();
         pause(500);
-        assertTrue(reached.size() > before);
-        assertEquals(0, refusedAfter.size());
+        assertTrue(reachedAt.size() > before);
+        assertEquals(0, rejectionMillis.size());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/StartupIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StartupIT.java
@@ -11,36 +11,36 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** Many sidecars that start at once, as after a release or the loss of their machine. */
+/** Many sidecars that start at once, as after a release or the loss of a machine. */
 @Isolated("takes all cores for some seconds, and others time what they see")
 class StartupIT extends SidecarFixture {
     private static final int PROCESSES = 10;
 
-    /** The operators' term: nine in ten are ready within 10 s, and each takes transactions from then on. */
+    /** The operators require that 90% are ready within 10 s, and that each accepts transactions from then on. */
     @Test
-    void nineInTenThatStartAtOnceAreReadyWithinTenSeconds() throws Exception {
+    void ninetyPercentOfSimultaneousStartsAreReadyWithinTenSeconds() throws Exception {
         endpoint(r -> answer(200, "", "good"));
         endpoint(r -> answer(200, "", "good"));
         settings().put("n_instances", PROCESSES);
         List<Process> processes = new ArrayList<>();
         List<Integer> ports = new ArrayList<>();
-        List<Long> after = new ArrayList<>();
+        List<Long> readyMillis = new ArrayList<>();
         try {
-            long begun = System.nanoTime();
+            long start = System.nanoTime();
             for (int i = 0; i < PROCESSES; i++) {
                 processes.add(start(configuration().encode(), dir.resolve("config-" + i), dir.resolve("log-" + i)));
                 ports.add(port);
             }
-            List<Integer> waiting = new ArrayList<>(ports);
+            List<Integer> pendingPorts = new ArrayList<>(ports);
             eventually(() -> {
-                waiting.removeIf(each -> {
-                    boolean ready = health(each) == 200;
+                pendingPorts.removeIf(pending -> {
+                    boolean ready = health(pending) == 200;
                     if (ready) {
-                        after.add((System.nanoTime() - begun) / 1_000_000);
+                        readyMillis.add((System.nanoTime() - start) / 1_000_000);
                     }
                     return ready;
                 });
-                return waiting.isEmpty();
+                return pendingPorts.isEmpty();
             });
             for (int i = 0; i < PROCESSES; i++) {
                 try (TestClient client = new TestClient(ports.get(i))) {
@@ -51,11 +51,11 @@
                 }
             }
         } finally {
-            for (Process each : processes) {
-                each.destroyForcibly().waitFor();
+            for (Process started : processes) {
+                started.destroyForcibly().waitFor();
             }
         }
-        System.out.println("starts: ready after " + after + " ms");
-        assertTrue(after.get(PROCESSES * 9 / 10 - 1) < 10_000, "ready after " + after + " ms");
+        System.out.println("starts: ready after " + readyMillis + " ms");
+        assertTrue(readyMillis.get(PROCESSES * 9 / 10 - 1) < 10_000, "ready after " + readyMillis + " ms");
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
@@ -22,22 +22,22 @@
 import trestlegrade.lab.soak.SystemCallShim.Errno;
 import trestlegrade.lab.soak.SystemCallShim.Field;
 
-/** The system calls of the process fail as their manual pages say: each request has its answer in time all the same. */
+/** System calls of the process fail as their manual pages document. Each request still gets its response in time. */
 class SystemCallsIT extends SidecarFixture {
     private final StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
     private SystemCallShim shim;
 
     @BeforeEach
-    void preload() throws Exception {
+    void startWithShim() throws Exception {
         shim = new SystemCallShim(SystemCallShim.compile(dir), dir.resolve("shim-control"), 20261202);
         environment.putAll(shim.environment());
         serve();
     }
 
-    /** Clients whose connections wait in the listener's queue meanwhile are let in as soon as that is possible. */
+    /** Clients that wait in the listener's backlog while accept fails are accepted as soon as it succeeds again. */
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
-    void acceptFailsForAWhile(Errno errno) throws Exception {
+    void clientsAreAcceptedOnceAcceptSucceedsAgain(Errno errno) throws Exception {
         shim.fail(Field.ACCEPT_ERRNO, Field.ACCEPT_RATE, errno, SystemCallShim.ALL);
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -47,35 +47,39 @@
         pause(400);
         shim.set(Field.ACCEPT_RATE, 0);
         Stopwatch watch = new Stopwatch();
-        for (TestClient each : clients) {
-            assertTrue(each.read().startsWith("HTTP/1.1 200 "));
+        for (TestClient client : clients) {
+            assertTrue(client.read().startsWith("HTTP/1.1 200 "));
         }
-        assertTrue(watch.milliseconds() < 300, "answered after " + watch.milliseconds() + " ms");
+        assertTrue(watch.milliseconds() < 300, "all responses after " + watch.milliseconds() + " ms");
         long tries = shim.get(Field.ACCEPT_DONE);
-        // The runtime itself tries again at once where a client has gone meanwhile.
+        // After ECONNABORTED (the client has disconnected) the runtime itself retries immediately.
         assertTrue(errno == Errno.ECONNABORTED || (tries > 3 && tries < 100), tries + " tries in 0.4 s");
     }
 
-    /** No socket can be had for an attempt: refused at once, served again as soon as one can, and none is forgotten. */
+    /**
+     * No socket is available for an attempt. Requests are rejected immediately and served again as soon as a socket is
+     * available, and the count of pooled connections stays correct.
+     */
     @ParameterizedTest
     @EnumSource(names = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"})
-    void noSocketForAnAttempt(Errno errno) throws Exception {
-        answeredAtOnceAndServedAgain(Field.SOCKET_ERRNO, Field.SOCKET_RATE, Field.SOCKET_DONE, errno);
+    void requestsAreRejectedWhileAttemptsGetNoSocket(Errno errno) throws Exception {
+        assertRejectedAtOnceAndServedAgain(Field.SOCKET_ERRNO, Field.SOCKET_RATE, Field.SOCKET_DONE, errno);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"EADDRNOTAVAIL", "ENETUNREACH", "ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS"})
-    void connectFails(Errno errno) throws Exception {
-        answeredAtOnceAndServedAgain(Field.CONNECT_ERRNO, Field.CONNECT_RATE, Field.CONNECT_DONE, errno);
+    void requestsAreRejectedWhileConnectFails(Errno errno) throws Exception {
+        assertRejectedAtOnceAndServedAgain(Field.CONNECT_ERRNO, Field.CONNECT_RATE, Field.CONNECT_DONE, errno);
     }
 
-    private void answeredAtOnceAndServedAgain(Field number, Field rate, Field done, Errno errno) throws Exception {
+    private void assertRejectedAtOnceAndServedAgain(Field errnoField, Field rate, Field done, Errno errno)
+            throws Exception {
         TestClient client = client();
-        shim.fail(number, rate, errno, SystemCallShim.ALL);
+        shim.fail(errnoField, rate, errno, SystemCallShim.ALL);
         for (String profile : List.of("quote", "post-charge")) {
             Stopwatch watch = new Stopwatch();
             assertTrue(client.ask(transaction(profile, profile + errno, 1_400)).startsWith("HTTP/1.1 503 "));
-            assertTrue(watch.milliseconds() < 700, "refused after " + watch.milliseconds() + " ms");
+            assertTrue(watch.milliseconds() < 700, "rejected after " + watch.milliseconds() + " ms");
         }
         assertTrue(shim.get(done) > 0);
         shim.set(rate, 0);
@@ -84,9 +88,9 @@
         assertEquals(1, counters().getJsonObject("now").getLong("pooled"));
     }
 
-    /** The listener itself has to wait for a socket. */
+    /** No socket is available for the listener, which retries until it gets one. */
     @Test
-    void noSocketToListenOnForAWhile() throws Exception {
+    void listenerIsOpenedOnceASocketIsAvailable() throws Exception {
         process.destroyForcibly().waitFor();
         shim.fail(Field.SOCKET_ERRNO, Field.SOCKET_RATE, Errno.ENFILE, SystemCallShim.ALL);
         start();
@@ -95,9 +99,9 @@
         within(10_000, () -> health() == 200);
     }
 
-    /** Every read and write moves one byte, and one call in four is interrupted. */
+    /** Each read and write transfers one byte, and one call in four is interrupted. */
     @Test
-    void shortAndInterruptedReadsAndWrites() throws Exception {
+    void servesThroughShortAndInterruptedReadsAndWrites() throws Exception {
         shim.set(Field.SHORT_RATE, SystemCallShim.ALL);
         shim.set(Field.INTERRUPT_RATE, SystemCallShim.ALL / 4);
         TestClient client = client();
@@ -113,10 +117,10 @@
         assertTrue(shim.get(Field.INTERRUPT_DONE) > 100 && shim.get(Field.SHORT_DONE) > 1_000);
     }
 
-    /** The system gives up connections that are open: in use or idle, the endpoint's and the client's. */
+    /** The kernel ends open connections, in use or idle, of endpoints and of clients. */
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH"})
-    void openConnectionsBreak(Errno errno) throws Exception {
+    void servesAgainAfterOpenConnectionsBreak(Errno errno) throws Exception {
         Gate gate = new Gate();
         endpoint.answers = r -> {
             gate.pass();
@@ -142,34 +146,42 @@
         eventually(() -> counters().getJsonObject("now").getLong("transactions") == 0);
     }
 
-    /** Written late, what an endpoint is told is still no more than what the client has left, with 0.15 s of slack. */
+    /**
+     * The sidecar is delayed before each write. The timeout that it sends to an endpoint must still be at most the
+     * client's remaining time, with a tolerance of 0.15 s.
+     */
     @Test
-    void heldUpBeforeEachWrite() throws Exception {
+    void forwardedTimeoutIsRightIfWritesAreDelayed() throws Exception {
         shim.set(Field.HOLD_MICROSECONDS, 150_000);
         shim.set(Field.HOLD_RATE, SystemCallShim.ALL);
         TestClient client = client();
-        long[] seenAt = {0};
+        long[] receivedAt = {0};
         endpoint.answers = r -> {
-            seenAt[0] = System.nanoTime();
+            receivedAt[0] = System.nanoTime();
             return answer(200, "", "good");
         };
         for (int i = 0; i < 5; i++) {
             String trace = "t" + i;
-            long asked = System.nanoTime();
+            long sentAt = System.nanoTime();
             String got = client.ask(transaction("quote", trace, 1_400));
             assertTrue(got.startsWith("HTTP/1.1 "), got);
             String request = endpoint.seen.get(endpoint.seen.size() - 1);
             assertEquals(trace, header(request, "X-Trace-Id"));
-            long told = HeaderRules.timeoutTicks(header(request, "X-Expires-In")) / 10;
-            long left = 1_400 - (seenAt[0] - asked) / 1_000_000;
-            assertTrue(told <= left + 150, "told " + told + " ms with " + left + " ms left");
+            long forwardedMillis = HeaderRules.timeoutTicks(header(request, "X-Expires-In")) / 10;
+            long remainingMillis = 1_400 - (receivedAt[0] - sentAt) / 1_000_000;
+            assertTrue(
+                    forwardedMillis <= remainingMillis + 150,
+                    "forwarded timeout of " + forwardedMillis + " ms with " + remainingMillis + " ms left");
         }
     }
 
-    /** Deadlines, waits and graces are real time: of a step of the wall clock only the log's stamps tell. */
+    /**
+     * Deadlines, waits and drain graces are measured in real time. A step of the wall clock changes only the timestamps
+     * of the log.
+     */
     @ParameterizedTest
     @ValueSource(longs = {-3_600, -5, 5, 3_600})
-    void theWallClockSteps(long seconds) throws Exception {
+    void wallClockStepsDoNotChangeTimeouts(long seconds) throws Exception {
         TestClient client = client();
         endpoint.answers = r -> HANG;
         client.write(transaction("quote", "t", 1_400));
@@ -190,6 +202,6 @@
         discovery.line(list(9, false, entry(0, "active")));
         eventually(() -> client.tries(transaction("quote", "w" + System.nanoTime(), 1_400))
                 .startsWith("HTTP/1.1 200 "));
-        assertEquals(1, discovery.seen.size(), "the watch was opened anew");
+        assertEquals(1, discovery.seen.size(), "the watch was reopened");
     }
 }
