--- a/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -26,7 +26,7 @@
 
 /** SIGTERM and SIGHUP while connections are accepted, requests are read and responses are written. */
 class GracefulShutdownIT extends SidecarFixture {
-    private final StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
+    private final StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
 
     private static JsonObject setDeadlines(JsonObject settings, long deadlineMillis, long latencyObjectiveMillis) {
         return settings.put(
@@ -75,7 +75,7 @@
     @Test
     void withShortDeadlinesRequestsReceivedDuringAStallGetAResponseBeforeTheExit() throws Exception {
         setDeadlines(settings(), 300, 150);
-        serve();
+        startAndAwaitHealthy();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             clients.add(client());
@@ -84,7 +84,7 @@
         process.destroy();
         eventually(() -> log().contains("code=draining"));
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         for (int i = 10; i < 40; i++) {
             clients.add(client());
         }
@@ -117,7 +117,7 @@
     @Test
     void withShortDeadlinesRequestsAreServedForAsLongAsClientsSendThem() throws Exception {
         setDeadlines(settings(), 300, 150);
-        serve();
+        startAndAwaitHealthy();
         TestClient reusedClient = client();
         assertResponse(sendRequest(reusedClient, "t"));
         long start = System.nanoTime();
@@ -126,7 +126,7 @@
             assertResponse(sendRequest(client(), "u" + System.nanoTime()));
             assertResponse(sendRequest(reusedClient, "v" + System.nanoTime()));
         }
-        endpoint.answers = r -> HANG;
+        endpoint.responder = r -> HANG;
         sendRequest(reusedClient, "w");
         if (System.nanoTime() - start < 700_000_000L) {
             assertResponse(reusedClient);
@@ -134,7 +134,7 @@
             // The test's thread ran late, and idle connections are closed by now: the request may cross the close and
             // remain unread.
             assertTrue(
-                    reusedClient.read().startsWith("HTTP/1.1 ") || !endpoint.saw("w"),
+                    reusedClient.read().startsWith("HTTP/1.1 ") || !endpoint.received("w"),
                     "the request was forwarded but got no response");
         }
         assertClosedWithin(1_000, start, reusedClient);
@@ -150,7 +150,7 @@
     void clientsInTheBacklogGetAResponseBeforeTheListenerCloses() throws Exception {
         sockets = 64;
         setDeadlines(settings(), 1_000, 400);
-        serve();
+        startAndAwaitHealthy();
         for (int i = 0; i < DescriptorBudget.forClients(sockets).limit(); i++) {
             client();
         }
@@ -174,11 +174,11 @@
     @Test
     void transactionAcceptedUnderLongerDeadlinesGetsAResponseBeforeTheExit() throws Exception {
         setDeadlines(settings(), 9_000, 4_000);
-        endpoint.answers = r -> HANG;
-        serve();
+        endpoint.responder = r -> HANG;
+        startAndAwaitHealthy();
         TestClient client = client();
         client.write(transaction("post-charge", "t", 8_000));
-        eventually(() -> endpoint.saw("t"));
+        eventually(() -> endpoint.received("t"));
         reload(setDeadlines(settings().copy(), 400, 200));
         long start = System.nanoTime();
         process.destroy();
@@ -195,13 +195,13 @@
     @ValueSource(longs = {9_000, 100})
     void reloadAfterSigtermDoesNotDelayTheExit(long deadlineMillis) throws Exception {
         setDeadlines(settings(), 1_500, 600);
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
-        client.ask(transaction("post-charge", "t", 1_500));
-        endpoint.answers = r -> HANG;
+        client.exchange(transaction("post-charge", "t", 1_500));
+        endpoint.responder = r -> HANG;
         TestClient openClient = client();
         openClient.write(transaction("post-charge", "u", 1_500));
-        eventually(() -> endpoint.saw("u"));
+        eventually(() -> endpoint.received("u"));
         long start = System.nanoTime();
         process.destroy();
         eventually(() -> log().contains("code=draining"));
@@ -221,7 +221,7 @@
     @Test
     void clientAcceptedJustBeforeTheListenerClosesGetsAResponse() throws Exception {
         setDeadlines(settings(), 300, 150);
-        serve();
+        startAndAwaitHealthy();
         long start = System.nanoTime();
         process.destroy();
         List<TestClient> clients = new ArrayList<>();
@@ -244,9 +244,9 @@
      */
     @Test
     void secondOfTwoOverlappingReloadsTakesEffect() throws Exception {
-        serve();
+        startAndAwaitHealthy();
         StubDiscovery[] discoveries = {new StubDiscovery(r -> HANG), new StubDiscovery(r -> HANG)};
-        opened.addAll(List.of(discoveries));
+        closeables.addAll(List.of(discoveries));
         Path pipe = dir.resolve("config.json");
         JsonObject original = new JsonObject(Files.readString(pipe));
         Files.delete(pipe);
@@ -257,7 +257,7 @@
         pause(200);
         writeConfig(firstWrite, original, discoveries[0]);
         writeConfig(openOnceSidecarReads(pipe), original, discoveries[1]);
-        eventually(() -> !discoveries[1].seen.isEmpty());
+        eventually(() -> !discoveries[1].requests.isEmpty());
     }
 
     /**
@@ -269,7 +269,7 @@
         Process writer = new ProcessBuilder(
                         "sh", "-c", "exec 3> \"$0\" && echo opened && exec cat >&3", pipe.toString())
                 .start();
-        opened.add(writer::destroyForcibly);
+        closeables.add(writer::destroyForcibly);
         eventually(() -> available(writer) > 0);
         return writer.getOutputStream();
     }
@@ -300,7 +300,7 @@
      */
     @Test
     void connectionWithAnIncompleteRequestIsClosedBeforeTheOthers() throws Exception {
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         assertResponse(sendRequest(client, "t", 1_500));
         process.destroy();
--- a/sidecar/src/test/java/trestlegrade/integration/IgnoredSignalsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/IgnoredSignalsIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.StubServer.HANG;
 
 import io.vertx.core.json.JsonObject;
@@ -27,27 +27,27 @@
 
     @BeforeEach
     void addEndpoint() {
-        endpoint(r -> answer(200, "", "good"));
+        endpoint(r -> response(200, "", "good"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"nohup", "trap"})
     void reloadsThoughTheParentIgnoresSighup(String parent) throws Exception {
         StubDiscovery newDiscovery = new StubDiscovery(r -> HANG);
-        opened.add(newDiscovery);
+        closeables.add(newDiscovery);
         launcher = parent.equals("nohup") ? List.of("nohup") : IGNORING_SHELL;
-        serve();
+        startAndAwaitHealthy();
         Path file = dir.resolve("config.json");
         JsonObject config = new JsonObject(Files.readString(file)).put("discovery", "127.0.0.1:" + newDiscovery.port());
         Files.writeString(file, config.encode());
         signal("HUP");
-        eventually(() -> newDiscovery.seen.size() == 1);
+        eventually(() -> newDiscovery.requests.size() == 1);
     }
 
     @Test
     void shutsDownGracefullyThoughTheParentIgnoresSigterm() throws Exception {
         launcher = IGNORING_SHELL;
-        serve();
+        startAndAwaitHealthy();
         signal("TERM");
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
@@ -57,14 +57,14 @@
     @Test
     void signalsThatStayIgnoredAreLoggedAndReportedByAGauge() throws Exception {
         launcher = List.of("sh", "-c", "trap '' HUP TERM; while [ \"$1\" != java ]; do shift; done; exec \"$@\"", "sh");
-        serve();
+        startAndAwaitHealthy();
         eventually(() -> log().contains("serve code=signals-ignored signals=[HUP, TERM]"));
         assertEquals(2, counters().getJsonObject("now").getLong("ignored_signals"));
     }
 
     @Test
     void ordinaryStartReportsNoIgnoredSignals() throws Exception {
-        serve();
+        startAndAwaitHealthy();
         assertEquals(0, counters().getJsonObject("now").getLong("ignored_signals"));
         assertTrue(!log().contains("signals-ignored"), log());
     }
--- a/sidecar/src/test/java/trestlegrade/integration/MalformedResponsesIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/MalformedResponsesIT.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.CLOSE;
 import static trestlegrade.integration.StubServer.HANG;
@@ -47,25 +47,25 @@
         AtomicInteger requests = new AtomicInteger();
         Function<String, String> everySecondMalformed = r -> requests.getAndIncrement() % 2 == 0
                 ? response.replace("\\r", "\r").replace("\\n", "\n")
-                : answer(200, "", header(r, "X-Trace-Id"));
+                : response(200, "", header(r, "X-Trace-Id"));
         StubEndpoint first = endpoint(everySecondMalformed);
         StubEndpoint second = endpoint(everySecondMalformed);
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         for (int i = 0; i < 3; i++) {
             long start = System.nanoTime();
-            String got = client.ask(transaction("quote", "t" + i, 1_400));
+            String got = client.exchange(transaction("quote", "t" + i, 1_400));
             assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("t" + i), got);
-            got = client.ask(transaction("post-charge", "u" + i, 2_000));
+            got = client.exchange(transaction("post-charge", "u" + i, 2_000));
             assertTrue(got.startsWith("HTTP/1.1 502 "), got);
             long took = (System.nanoTime() - start) / 1_000_000;
             assertTrue(took < (code.equals("unfinished") ? 800 : 200), "after " + took + " ms");
-            assertTrue(client.ask(transaction("post-charge", "v" + i, 500)).endsWith("v" + i));
+            assertTrue(client.exchange(transaction("post-charge", "v" + i, 500)).endsWith("v" + i));
         }
         // The end of a connection is counted a few event loop turns after the response to the client that it causes.
         eventually(() -> connectionsEnded("pooled:" + code) >= 6);
         assertEquals(6, connectionsEnded("pooled:" + code));
-        assertEquals(12, first.seen.size() + second.seen.size());
+        assertEquals(12, first.requests.size() + second.requests.size());
     }
 
     private long connectionsEnded(String code) {
@@ -91,15 +91,15 @@
                 default -> response;
             };
         });
-        endpoint.afterwards = fault.equals("later") ? head + "xx" : fault.equals("ends") ? CLOSE : HANG;
-        serve();
+        endpoint.trailingData = fault.equals("later") ? head + "xx" : fault.equals("ends") ? CLOSE : HANG;
+        startAndAwaitHealthy();
         boolean reusable = fault.equals("interim") || fault.equals("report");
         for (int round = 0; round < 20; round++) {
             List<TestClient> clients = List.of(client(), client());
             for (int i = 0; i < 10; i++) {
                 for (TestClient client : clients) {
                     String trace = clients.indexOf(client) + "" + i;
-                    String got = client.ask(transaction(reusable ? "quote" : "post-charge", trace, 900));
+                    String got = client.exchange(transaction(reusable ? "quote" : "post-charge", trace, 900));
                     assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\n" + trace), got);
                 }
             }
@@ -109,7 +109,9 @@
         boolean endedByFault = Stream.of("excess", "spoilt", "unfinished", "endpoint-closed", "broken")
                 .anyMatch(code -> ended.containsKey("pooled:" + code));
         assertTrue(
-                reusable ? endpoint.connections.get() < 200 && !endedByFault : endpoint.connections.get() >= 200,
-                () -> endpoint.connections.get() + " connections, " + ended.encode());
+                reusable
+                        ? endpoint.connectionCount.get() < 200 && !endedByFault
+                        : endpoint.connectionCount.get() >= 200,
+                () -> endpoint.connectionCount.get() + " connections, " + ended.encode());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/PolicySettingsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/PolicySettingsIT.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -26,7 +26,7 @@
     /** The name in the X-Qos field, or else in the path, must match the name of a profile exactly. */
     @Test
     void profilesAreSelectedByTheirFullName() throws Exception {
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint endpoint = endpoint(r -> response(200, "", "good"));
         List<String> names = List.of("p", "pay", "pay-check", "Pay", "gr\u00f6\u00dfte", "a'b\"c*", "x.%7E;y");
         JsonArray profiles = new JsonArray();
         for (String name : names) {
@@ -39,14 +39,14 @@
                     .put("revenue", 1));
         }
         settings().put("profiles", profiles);
-        serve();
+        startAndAwaitHealthy();
         for (boolean inField : new boolean[] {true, false}) {
             for (String name : names) {
-                String got = client().ask("POST /" + utf8(name) + "?k=1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: "
+                String got = client().exchange("POST /" + utf8(name) + "?k=1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: "
                         + names.indexOf(name) + inField + "\r\n" + (inField ? "X-Qos: " + utf8(name) + "\r\n" : "")
                         + "Content-Length: 0\r\n\r\n");
                 assertEquals("200", got.substring(9, 12), name + " " + inField);
-                String attempt = endpoint.seen.get(endpoint.seen.size() - 1);
+                String attempt = endpoint.requests.get(endpoint.requests.size() - 1);
                 double remainingMillis = Double.parseDouble(header(attempt, "X-Expires-In").replace("u", "")) / 1_000;
                 double deadlineMillis = 1_000 * Math.pow(3, names.indexOf(name));
                 assertTrue(
@@ -54,12 +54,12 @@
                         name + " had " + remainingMillis + " ms left");
             }
             for (String name : List.of("pa", "PAY", "pay-", "grosste", "x.~;y")) {
-                String got = client().ask("POST /" + name + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + name + inField
-                        + "\r\n" + (inField ? "X-Qos: " + name + "\r\n" : "") + "Content-Length: 0\r\n\r\n");
+                String got = client().exchange("POST /" + name + " HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t" + name
+                        + inField + "\r\n" + (inField ? "X-Qos: " + name + "\r\n" : "") + "Content-Length: 0\r\n\r\n");
                 assertEquals("404", got.substring(9, 12), name);
             }
         }
-        assertEquals(2 * names.size(), endpoint.seen.size());
+        assertEquals(2 * names.size(), endpoint.requests.size());
     }
 
     /**
@@ -86,18 +86,18 @@
                                 .encode()
                                 .replaceAll("\"hard_limit\":\\d+", "\"hard_limit\":" + deadlineMillis)
                                 .replaceAll("\"service_goal\":\\d+", "\"service_goal\":" + deadlineMillis / 2)));
-        known = new JsonArray().add(entry(0, "active").put("zone", ""));
-        serve();
+        initialEndpoints = new JsonArray().add(entry(0, "active").put("zone", ""));
+        startAndAwaitHealthy();
         int timeoutMillis = Math.min(deadlineMillis, 2_000);
         TestClient client = client();
         for (String profile : List.of("quote", "post-charge")) {
             long start = System.nanoTime();
-            String got = client.ask(transaction(profile, "t-" + profile, timeoutMillis));
+            String got = client.exchange(transaction(profile, "t-" + profile, timeoutMillis));
             long took = (System.nanoTime() - start) / 1_000_000;
             assertEquals(profile.equals("quote") ? "503" : "502", got.substring(9, 12));
             assertTrue(!got.contains("Retry-After"), got);
             assertTrue(took <= timeoutMillis + 50, "after " + took + " ms of " + timeoutMillis);
         }
-        assertEquals(2, silent.seen.size());
+        assertEquals(2, silent.requests.size());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/PooledConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/PooledConnectionsIT.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 
 import java.util.ArrayList;
@@ -27,14 +27,14 @@
     void lateDuplicateResponseIsNotForwarded(String profile) throws Exception {
         // The response to the next attempt arrives later than the duplicate.
         StubEndpoint endpoint = endpointRespondingTwice(12, 8);
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         for (int i = 0; i < 60; i++) {
-            String got = client.ask(transaction(profile, "t" + i, 900));
+            String got = client.exchange(transaction(profile, "t" + i, 900));
             String responseTrace = got.substring(got.indexOf("\r\n\r\n") + 4);
             assertTrue(
                     got.startsWith("HTTP/1.1 200 ") && responseTrace.equals("t" + i),
-                    () -> got + ", written " + endpoint.strayed.getOrDefault(responseTrace, 0L) / 1_000_000
+                    () -> got + ", written " + endpoint.duplicateDelayNanos.getOrDefault(responseTrace, 0L) / 1_000_000
                             + " ms after the first response");
             // By the end of this pause the connection has been read again, and the duplicate has not arrived yet.
             pause(4);
@@ -52,22 +52,22 @@
     @ParameterizedTest
     @ValueSource(strings = {"quote", "post-charge"})
     void duplicateResponseDelayedByTheKernelIsNotForwarded(String profile) throws Exception {
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
-        patient();
-        serve();
+        StubEndpoint endpoint = endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
+        useLongTimeouts();
+        startAndAwaitHealthy();
         TestClient client = client();
         // In some rounds no duplicate is written, because the machine itself is late.
-        for (int round = 0; endpoint.strayed.size() < 6; round++) {
+        for (int round = 0; endpoint.duplicateDelayNanos.size() < 6; round++) {
             for (int i = 0; i < 5; i++) {
-                client.ask(transaction(profile, "warm" + round + "-" + i, 30_000));
+                client.exchange(transaction(profile, "warm" + round + "-" + i, 30_000));
                 pause(36);
             }
-            endpoint.straysAfter = 8;
-            client.ask(transaction(profile, "t" + round, 30_000));
+            endpoint.duplicateAfterMillis = 8;
+            client.exchange(transaction(profile, "t" + round, 30_000));
             // Lasts longer than the quarantine, so that the next attempt may use the connection.
             pause(36);
-            endpoint.straysAfter = 0;
-            String got = client.ask(transaction(profile, "u" + round, 30_000));
+            endpoint.duplicateAfterMillis = 0;
+            String got = client.exchange(transaction(profile, "u" + round, 30_000));
             assertTrue(got.endsWith("\r\n\r\nu" + round), got);
         }
         eventually(() -> counters().getJsonObject("connections_ended").getLong("pooled:excess", 0L) >= 6);
@@ -81,14 +81,14 @@
     @ValueSource(strings = {"quote", "post-charge"})
     void duplicateResponseAfterTheQuarantineIsNotForwardedOnceADuplicateWasSeen(String profile) throws Exception {
         endpointRespondingTwice(40, 2 * AttemptSender.QUARANTINE_MILLIS);
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         for (int ended = 0; ended == 0; ended = connectionsEndedByExcessBytes()) {
-            client.ask(transaction(profile, "first", 900));
+            client.exchange(transaction(profile, "first", 900));
             pause(3 * AttemptSender.QUARANTINE_MILLIS);
         }
         for (int i = 0; i < 20; i++) {
-            String got = client.ask(transaction(profile, "t" + i, 900));
+            String got = client.exchange(transaction(profile, "t" + i, 900));
             assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\nt" + i), got);
             // By the end of this pause the quarantine is over, and the duplicate has not arrived yet.
             pause(AttemptSender.QUARANTINE_MILLIS + 8);
@@ -99,9 +99,9 @@
     private StubEndpoint endpointRespondingTwice(int responseMillis, int duplicateMillis) {
         StubEndpoint endpoint = endpoint(r -> {
             pause(responseMillis);
-            return answer(200, "", header(r, "X-Trace-Id"));
+            return response(200, "", header(r, "X-Trace-Id"));
         });
-        endpoint.straysAfter = duplicateMillis;
+        endpoint.duplicateAfterMillis = duplicateMillis;
         return endpoint;
     }
 
@@ -116,23 +116,23 @@
     @ParameterizedTest
     @ValueSource(strings = {"end", "reset", "half a line"})
     void transactionIsServedIfIdleConnectionsEndInTheSameTurn(String event) throws Exception {
-        StubEndpoint endpoint = endpoint(r -> answer(200, "", header(r, "X-Trace-Id")));
-        serve();
+        StubEndpoint endpoint = endpoint(r -> response(200, "", header(r, "X-Trace-Id")));
+        startAndAwaitHealthy();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             clients.add(client());
-            clients.get(i).ask(transaction("quote", "t" + i, 900));
+            clients.get(i).exchange(transaction("quote", "t" + i, 900));
         }
         // Lasts longer than the quarantine, so that attempts that must not be repeated may use the connections too.
         pause(100);
-        int pooled = endpoint.connections.get();
+        int pooled = endpoint.connectionCount.get();
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         for (int i = 0; i < pooled; i++) {
             if (event.equals("half a line")) {
                 endpoint.send(i, "HTTP/1.1 20");
             } else {
-                endpoint.end(i, event.equals("reset"));
+                endpoint.closeConnection(i, event.equals("reset"));
             }
         }
         for (TestClient each : clients) {
@@ -145,7 +145,7 @@
             assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("u" + clients.indexOf(each)), got);
         }
         assertEquals(
-                10, endpoint.seen.stream().filter(r -> r.startsWith("POST")).count());
+                10, endpoint.requests.stream().filter(r -> r.startsWith("POST")).count());
     }
 
     /**
@@ -157,19 +157,19 @@
         Gate gate = new Gate();
         StubEndpoint endpoint = endpoint(r -> {
             if (header(r, "X-Trace-Id").startsWith("u")) {
-                gate.pass();
+                gate.awaitOpen();
             }
-            return answer(200, "", header(r, "X-Trace-Id"));
+            return response(200, "", header(r, "X-Trace-Id"));
         });
-        serve();
+        startAndAwaitHealthy();
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
             clients.get(i).write(transaction(i % 2 == 0 ? "quote" : "post-charge", "u" + i, 1_000));
         }
-        eventually(() -> endpoint.seen.size() == 20);
+        eventually(() -> endpoint.requests.size() == 20);
         signal("STOP");
-        eventually(this::stopped);
+        eventually(this::allThreadsStopped);
         gate.open();
         // Lasts until all transactions have ended, which they do when a quarter of their timeout is left.
         pause(1_100);
@@ -184,7 +184,7 @@
         // Each request got one response: the next response on the connection belongs to the next request.
         for (TestClient each : clients) {
             String trace = "v" + clients.indexOf(each);
-            String got = each.ask(transaction("quote", trace, 900));
+            String got = each.exchange(transaction("quote", trace, 900));
             assertTrue(got.endsWith("\r\n\r\n" + trace) || got.startsWith("HTTP/1.1 503 "), got);
         }
         assertEquals(
--- a/sidecar/src/test/java/trestlegrade/integration/RetryIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/RetryIT.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.CLOSE;
 
@@ -32,26 +32,26 @@
         "quote, unsure, 200", "post-charge, unsure, 502"
     })
     void retriesOnlyTransactionsThatMayBeRepeated(String profile, String fault, int status) throws Exception {
-        StubEndpoint healthy = endpoint(r -> answer(200, "", "good"));
+        StubEndpoint healthy = endpoint(r -> response(200, "", "good"));
         StubEndpoint faulty = endpoint(r -> switch (fault) {
-            case "turned-away" -> answer(503, "X-Never-Ran: 1\r\n", "");
-            case "error" -> answer(500, "X-Never-Ran: 1\r\n", "");
-            case "unsure" -> answer(503, "", "");
+            case "turned-away" -> response(503, "X-Never-Ran: 1\r\n", "");
+            case "error" -> response(500, "X-Never-Ran: 1\r\n", "");
+            case "unsure" -> response(503, "", "");
             case "closes-midway" -> "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf";
             default -> CLOSE;
         });
         if (fault.equals("not-listening")) {
             faulty.close();
         }
-        serve();
+        startAndAwaitHealthy();
         TestClient client = client();
         int statusAfterFault = 0;
         for (int i = 0; i < 200 && statusAfterFault == 0; i++) {
             String trace = "t" + i;
-            String got = client.ask(transaction(profile, trace, 900));
+            String got = client.exchange(transaction(profile, trace, 900));
             int clientStatus = Integer.parseInt(got.substring(9, 12));
-            boolean reachedHealthy = healthy.saw(trace);
-            if (faulty.saw(trace)) {
+            boolean reachedHealthy = healthy.received(trace);
+            if (faulty.received(trace)) {
                 statusAfterFault = clientStatus;
                 assertEquals(status == 200, reachedHealthy, "forwarded to the healthy endpoint too");
             } else {
@@ -61,8 +61,8 @@
         }
         assertEquals(status, statusAfterFault);
         assertEquals(
-                faulty.seen.size(),
-                faulty.seen.stream().map(s -> header(s, "X-Trace-Id")).distinct().count());
+                faulty.requests.size(),
+                faulty.requests.stream().map(s -> header(s, "X-Trace-Id")).distinct().count());
     }
 
     /**
@@ -74,31 +74,31 @@
         try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             for (int i = 0; i < 3; i++) {
                 Socket filler = new Socket();
-                opened.add(filler);
+                closeables.add(filler);
                 try {
                     filler.connect(silent.getLocalSocketAddress(), 100);
                 } catch (IOException e) {
                     // Expected: the listener's backlog is full.
                 }
             }
-            StubEndpoint healthy = endpoint(r -> answer(200, "", "good"));
-            known = new JsonArray()
+            StubEndpoint healthy = endpoint(r -> response(200, "", "good"));
+            initialEndpoints = new JsonArray()
                     .add(entry(0, "active"))
                     .add(entry(0, "active")
                             .put("name", "s-silent")
                             .put("address", "127.0.0.1:" + silent.getLocalPort()));
-            serve();
+            startAndAwaitHealthy();
             TestClient client = client();
             long maxMillis = 0;
             // After 0.25 s without a commit the policy may also roll back early (503), but must not do more than that.
             for (int i = 0; i < 40; i++) {
                 long start = System.nanoTime();
-                String got = client.ask(transaction("post-charge", "t" + i, 2_000));
+                String got = client.exchange(transaction("post-charge", "t" + i, 2_000));
                 assertTrue(got.startsWith("HTTP/1.1 200 ") || got.startsWith("HTTP/1.1 503 "), got);
                 maxMillis = Math.max(maxMillis, (System.nanoTime() - start) / 1_000_000);
-                assertEquals(got.startsWith("HTTP/1.1 200 "), healthy.saw("t" + i));
+                assertEquals(got.startsWith("HTTP/1.1 200 "), healthy.received("t" + i));
             }
-            assertTrue(healthy.seen.size() >= 10, healthy.seen.size() + " committed");
+            assertTrue(healthy.requests.size() >= 10, healthy.requests.size() + " committed");
             assertTrue(maxMillis >= 240 && maxMillis < 600, "slowest response after " + maxMillis + " ms");
         }
     }
--- a/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
-import static trestlegrade.integration.HttpText.answer;
 import static trestlegrade.integration.HttpText.header;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 
 import io.vertx.core.json.JsonArray;
@@ -47,10 +47,10 @@
         for (int round = 0; round < ROUNDS; round++) {
             boolean changed = round % 2 == 0;
             // Discovery sends an empty line while nothing changes: a watch that is silent for 4.5 s is reopened.
-            discovery.line("");
+            discovery.writeLine("");
             String slowTrace = "slow" + round;
             slow.write(transaction("post-charge", slowTrace, 30_000));
-            eventually(() -> endpoints.stream().anyMatch(e -> e.saw(slowTrace)));
+            eventually(() -> endpoints.stream().anyMatch(e -> e.received(slowTrace)));
             List<Thread> loadThreads = startLoad(round);
             pause(30);
             Files.writeString(file, changed ? changedConfig.encode() : originalConfig);
@@ -76,17 +76,17 @@
             endpoint(r -> {
                 String trace = header(r, "X-Trace-Id");
                 if (trace.matches("slow\\d")) {
-                    gates.get(trace.charAt(4) - '0').pass();
+                    gates.get(trace.charAt(4) - '0').awaitOpen();
                 }
                 pause(trace.equals("slow-last") ? 1_200 : 2);
-                return answer(200, "", trace);
+                return response(200, "", trace);
             });
         }
         // Keeps transactions open until the settings have changed, even on a slow machine.
         settings().getJsonArray("profiles").getJsonObject(1).put("hard_limit", 40_000);
-        known = new JsonArray().add(entry(0, "active")).add(entry(1, "active").put("zone", "b"));
-        serve();
-        eventually(() -> discovery.seen.size() == 1);
+        initialEndpoints = new JsonArray().add(entry(0, "active")).add(entry(1, "active").put("zone", "b"));
+        startAndAwaitHealthy();
+        eventually(() -> discovery.requests.size() == 1);
     }
 
     /** The configuration with another home zone, another profile and other values of the reloadable settings. */
@@ -115,7 +115,8 @@
             Thread thread = new Thread(() -> {
                 for (int n = 0; n < TRANSACTIONS_PER_CLIENT; n++) {
                     String trace = "t" + nextTrace.getAndIncrement();
-                    String got = client.tries(transaction(n % 2 == 0 ? "quote" : "post-charge", trace, 900));
+                    String got = client.exchangeUnchecked(
+                            transaction(n % 2 == 0 ? "quote" : "post-charge", trace, 900));
                     // If the machine stalls, transactions may be rolled back, but none may be lost, get the response
                     // of another one or have an unknown outcome.
                     if (!got.endsWith(trace) && !got.startsWith("HTTP/1.1 503 ")) {
@@ -130,19 +131,19 @@
     }
 
     private void assertProfileExistsOnlyInTheChangedSettings(int round, boolean changed) throws Exception {
-        String got = client().ask(transaction("cert", "c" + round, 900));
+        String got = client().exchange(transaction("cert", "c" + round, 900));
         assertTrue(got.startsWith(changed ? "HTTP/1.1 200 " : "HTTP/1.1 404 "), got);
     }
 
     /** Zones are identified by their names, although the changed settings list them in another order. */
     private void assertTrafficFollowsTheHomeZone(int round, boolean changed) throws Exception {
-        int before = endpoints.get(0).seen.size();
+        int before = endpoints.get(0).requests.size();
         TestClient client = client();
         for (int n = 0; n < 20; n++) {
             assertTrue(
-                    client.ask(transaction("quote", "z" + round + "-" + n, 900)).startsWith("HTTP/1.1 200 "));
+                    client.exchange(transaction("quote", "z" + round + "-" + n, 900)).startsWith("HTTP/1.1 200 "));
         }
-        int zoneACount = endpoints.get(0).seen.size() - before;
+        int zoneACount = endpoints.get(0).requests.size() - before;
         assertTrue(
                 changed ? zoneACount == 0 : zoneACount > 0,
                 "round " + round + ": " + zoneACount + " requests went to zone a");
@@ -156,14 +157,14 @@
 
     private void assertEachTransactionWasSentOnce() {
         List<String> traces = endpoints.stream()
-                .flatMap(e -> e.seen.stream())
+                .flatMap(e -> e.requests.stream())
                 .filter(r -> r.startsWith("POST"))
                 .map(r -> header(r, "X-Trace-Id"))
                 .toList();
         assertEquals(traces.size(), traces.stream().distinct().count(), "a transaction was sent twice");
         assertTrue(traces.size() > 400, "only " + traces.size() + " transactions");
         assertEquals(5, log().split("code=adopted", -1).length);
-        assertEquals(1, discovery.seen.size());
+        assertEquals(1, discovery.requests.size());
         JsonObject counts = counters();
         assertEquals(counts.getLong("accepted"), counts.getLong("committed") + counts.getLong("rolled_back"));
     }
@@ -171,16 +172,16 @@
     /** A transaction that was accepted under the previous settings is not sent to a draining endpoint either. */
     private void assertDrainAppliesToOpenTransactions(TestClient slow, Path file, JsonObject config) throws Exception {
         slow.write(transaction("quote", "slow-last", 2_000));
-        eventually(() -> endpoints.stream().anyMatch(e -> e.saw("slow-last")));
-        int current = endpoints.get(0).saw("slow-last") ? 0 : 1;
+        eventually(() -> endpoints.stream().anyMatch(e -> e.received("slow-last")));
+        int current = endpoints.get(0).received("slow-last") ? 0 : 1;
         Files.writeString(file, config.encode());
         signal("HUP");
         eventually(() -> log().split("code=adopted", -1).length == 6);
-        discovery.line(list(8, false, entry(1 - current, "leaving")));
+        discovery.writeLine(listLine(8, false, entry(1 - current, "leaving")));
         eventually(() -> counters().getLong("list_lines") == 1);
-        int seenBefore = endpoints.get(1 - current).seen.size();
-        endpoints.get(current).dropAll();
+        int seenBefore = endpoints.get(1 - current).requests.size();
+        endpoints.get(current).closeAllConnections();
         assertTrue(slow.read().startsWith("HTTP/1.1 "));
-        assertEquals(seenBefore, endpoints.get(1 - current).seen.size());
+        assertEquals(seenBefore, endpoints.get(1 - current).requests.size());
     }
 }
--- a/sidecar/src/test/java/trestlegrade/integration/StaleEndpointListIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StaleEndpointListIT.java
@@ -5,7 +5,7 @@
 import static trestlegrade.integration.Await.eventually;
 import static trestlegrade.integration.Await.pause;
 import static trestlegrade.integration.Await.within;
-import static trestlegrade.integration.HttpText.answer;
+import static trestlegrade.integration.HttpText.response;
 import static trestlegrade.integration.HttpText.transaction;
 import static trestlegrade.integration.StubServer.HANG;
 
@@ -50,7 +50,7 @@
 
     private String respond(boolean draining) {
         reachedAt.add(nowMillis());
-        return draining ? answer(503, "X-Never-Ran: 1\r\n", "") : answer(200, "", "good");
+        return draining ? response(503, "X-Never-Ran: 1\r\n", "") : response(200, "", "good");
     }
 
     private void drainBothEndpoints() {
@@ -64,13 +64,13 @@
 
     private static String rejectAfterDelay(String request) {
         pause(REJECTION_DELAY_MS);
-        return answer(503, "", "");
+        return response(503, "", "");
     }
 
     @BeforeEach
     void configure() {
-        discovery.beats = false;
-        patient();
+        discovery.heartbeats = false;
+        useLongTimeouts();
         settings().getJsonObject("safety").put("drain_grace", DRAIN_GRACE_MS);
     }
 
@@ -82,7 +82,7 @@
                 try (TestClient client = new TestClient(port)) {
                     for (boolean open = true; sending && open; pause(20)) {
                         long asked = nowMillis();
-                        String got = client.ask(transaction("quote", "t" + ++id, 30_000));
+                        String got = client.exchange(transaction("quote", "t" + ++id, 30_000));
                         open = !got.isEmpty();
                         if (got.startsWith("HTTP/1.1 503 ")) {
                             rejectionMillis.add(nowMillis() - asked);
@@ -95,7 +95,7 @@
         });
         thread.setDaemon(true);
         thread.start();
-        opened.add(() -> sending = false);
+        closeables.add(() -> sending = false);
     }
 
     /**
@@ -125,15 +125,15 @@
 
     /** Requests are served again once discovery responds, but not by the endpoint that drained in the meantime. */
     private void assertServesAgain(StubDiscovery current) throws Exception {
-        current.answers = r -> HANG;
-        int callsBefore = current.seen.size();
-        eventually(() -> current.seen.size() > callsBefore);
-        int sentToDrained = first.seen.size();
+        current.responder = r -> HANG;
+        int callsBefore = current.requests.size();
+        eventually(() -> current.requests.size() > callsBefore);
+        int sentToDrained = first.requests.size();
         secondDrains = false;
-        current.write(current.connections.get() - 1, list(20, false, entry(0, "leaving")) + "\n");
+        current.write(current.connectionCount.get() - 1, listLine(20, false, entry(0, "leaving")) + "\n");
         int sentBefore = reachedAt.size();
         eventually(() -> reachedAt.size() > sentBefore);
-        assertEquals(sentToDrained, first.seen.size());
+        assertEquals(sentToDrained, first.requests.size());
     }
 
     /** The process is new and has received no data, or its watch has ended, or its watch is open but silent. */
@@ -141,18 +141,18 @@
     @ValueSource(strings = {"new", "ended", "silent"})
     void sendingStopsWhileDiscoveryRejectsEveryCall(String watch) throws Exception {
         if (watch.equals("new")) {
-            discovery.answers = StaleEndpointListIT::rejectAfterDelay;
+            discovery.responder = StaleEndpointListIT::rejectAfterDelay;
         }
         long started = nowMillis();
-        serve();
+        startAndAwaitHealthy();
         long lastConfirmed = started;
         if (!watch.equals("new")) {
-            discovery.line(list(8, false));
+            discovery.writeLine(listLine(8, false));
             lastConfirmed = nowMillis();
-            discovery.answers = StaleEndpointListIT::rejectAfterDelay;
+            discovery.responder = StaleEndpointListIT::rejectAfterDelay;
         }
         if (watch.equals("ended")) {
-            discovery.end(0, false);
+            discovery.closeConnection(0, false);
         }
         startSending();
         // Well before the lease of the list expires.
@@ -165,18 +165,18 @@
     /** One endpoint drains without a notification, and the other is used for as long as it serves requests. */
     @Test
     void servingEndpointIsUsedWithoutDiscovery() throws Exception {
-        discovery.answers = StaleEndpointListIT::rejectAfterDelay;
+        discovery.responder = StaleEndpointListIT::rejectAfterDelay;
         long started = nowMillis();
-        serve();
+        startAndAwaitHealthy();
         startSending();
         pause(1_000);
         firstDrains = true;
         pause(started + NOTIFICATION_DELAY_MS + DRAIN_GRACE_MS - nowMillis());
-        int sentToFirst = first.seen.size();
-        int sentToSecond = second.seen.size();
+        int sentToFirst = first.requests.size();
+        int sentToSecond = second.requests.size();
         pause(8_000);
-        assertEquals(sentToFirst, first.seen.size());
-        assertTrue(second.seen.size() > sentToSecond + 100, second.seen.size() - sentToSecond + " served");
+        assertEquals(sentToFirst, first.requests.size());
+        assertTrue(second.requests.size() > sentToSecond + 100, second.requests.size() - sentToSecond + " served");
     }
 
     /**
@@ -185,8 +185,8 @@
      */
     @Test
     void sendingStopsOnlyAfterDiscoveryReturnsOverloaded() throws Exception {
-        serve();
-        discovery.line(list(8, false));
+        startAndAwaitHealthy();
+        discovery.writeLine(listLine(8, false));
         int discoveryPort = discovery.port();
         discovery.close();
         startSending();
@@ -196,8 +196,8 @@
         assertTrue(reachedAt.size() > before, "requests are served during the outage");
         drainBothEndpoints();
         StubDiscovery returned = new StubDiscovery(StaleEndpointListIT::rejectAfterDelay, discoveryPort);
-        returned.beats = false;
-        opened.add(returned);
+        returned.heartbeats = false;
+        closeables.add(returned);
         assertSendingStopsBy(nowMillis() + NOTIFICATION_DELAY_MS + DRAIN_GRACE_MS);
         assertServesAgain(returned);
     }
@@ -205,11 +205,11 @@
     /** Changes that discovery has at a new address count as notified 4 s after SIGHUP. */
     @Test
     void sendingStopsAfterMovingToADiscoveryThatRejectsEveryCall() throws Exception {
-        serve();
-        discovery.line(list(8, false));
+        startAndAwaitHealthy();
+        discovery.writeLine(listLine(8, false));
         StubDiscovery newDiscovery = new StubDiscovery(StaleEndpointListIT::rejectAfterDelay);
-        newDiscovery.beats = false;
-        opened.add(newDiscovery);
+        newDiscovery.heartbeats = false;
+        closeables.add(newDiscovery);
         startSending();
         pause(200);
         drainBothEndpoints();
@@ -227,8 +227,8 @@
     /** A watch that reports no changes keeps all endpoints in use indefinitely. */
     @Test
     void sendingContinuesWhileTheWatchReportsNoChanges() throws Exception {
-        discovery.beats = true;
-        serve();
+        discovery.heartbeats = true;
+        startAndAwaitHealthy();
         startSending();
         pause(NOTIFICATION_DELAY_MS + DRAIN_GRACE_MS + 2_000);
         int before = reachedAt.size();
