--- a/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/GracefulShutdownIT.java
@@ -299,7 +299,7 @@
      * of a request.
      */
     @Test
-    void connectionWithAnIncompleteRequestIsClosedBeforeTheOthers() throws Exception {
+    void connectionWithAnIncompleteRequestIsNotKeptUntilTheExit() throws Exception {
         startAndAwaitHealthy();
         TestClient client = client();
         assertResponse(sendRequest(client, "t", 1_500));
--- a/sidecar/src/test/java/trestlegrade/integration/ResponseReaderIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ResponseReaderIT.java
@@ -75,7 +75,8 @@
             }
             endpoint.send(text);
             if (order.equals("later")) {
-                // By then the response has been read, but an incomplete response has not been given up yet.
+                // By the end of this pause the response has been read, but an incomplete response has not been given up
+                // yet.
                 pause(100);
             }
             endpoint.closeConnection(endpoint.connectionCount.get() - 1, reset);
--- a/sidecar/src/test/java/trestlegrade/integration/RetryIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/RetryIT.java
@@ -90,7 +90,7 @@
             startAndAwaitHealthy();
             TestClient client = client();
             long maxMillis = 0;
-            // After 0.25 s without a commit the policy may also roll back early (503), but must not do more than that.
+            // After 0.25 s without a commit the policy may also roll back early (503), but nothing else is allowed.
             for (int i = 0; i < 40; i++) {
                 long start = System.nanoTime();
                 String got = client.exchange(transaction("post-charge", "t" + i, 2_000));
--- a/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
@@ -118,7 +118,7 @@
                     String got = client.exchangeUnchecked(
                             transaction(n % 2 == 0 ? "quote" : "post-charge", trace, 900));
                     // If the machine stalls, transactions may be rolled back, but none may be lost, get the response
-                    // of another one or have an unknown outcome.
+                    // of another transaction or have an unknown outcome.
                     if (!got.endsWith(trace) && !got.startsWith("HTTP/1.1 503 ")) {
                         unexpectedResponses.add(round + " " + got);
                     }
