--- a/sidecar/src/main/java/trestlegrade/config/SettingNames.java
+++ b/sidecar/src/main/java/trestlegrade/config/SettingNames.java
@@ -11,7 +11,7 @@
  * <tr><td>{@code my_number}</td><td>0</td><td>sidecarIndex: number of this sidecar within the fleet</td></tr>
  * <tr><td>{@code azs}, {@code zone}</td><td>none, 0</td>
  *     <td>names of the zones; zone: number of the local zone</td></tr>
- * <tr><td>{@code flavors}</td><td>none</td><td>names of the machine kinds</td></tr>
+ * <tr><td>{@code flavors}</td><td>none</td><td>names of the instance types</td></tr>
  * <tr><td>{@code membership_mode}</td><td>{@code pushed}</td>
  *     <td>listPolled, if {@code on_request}: changes arrive only by watch or poll</td></tr>
  * <tr><td>{@code weights}</td><td>{@code off}</td>
@@ -39,7 +39,7 @@
  * <tr><td>{@code tenants[].allowance_per_s}</td><td>none</td><td>contracted rate, requests per second</td></tr>
  * <tr><td>{@code profiles[].service_goal}</td><td>required</td><td>latencyObjectiveTicks: latency objective</td></tr>
  * <tr><td>{@code profiles[].hard_limit}</td><td>required</td><td>deadline</td></tr>
- * <tr><td>{@code profiles[].revenue}</td><td>1</td><td>priorityWeight: value of a served request</td></tr>
+ * <tr><td>{@code profiles[].revenue}</td><td>1</td><td>priorityWeight: revenue of a served request</td></tr>
  * <tr><td>{@code profiles[].effect}</td><td>required</td>
  *     <td>idempotency: IDEMPOTENT ({@code repeatable}), IDEMPOTENT_BY_KEY
  *     ({@code by_key}), NON_IDEMPOTENT ({@code once})</td></tr>
--- a/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
+++ b/sidecar/src/main/java/trestlegrade/config/SidecarConfig.java
@@ -21,7 +21,7 @@
  * @param profiles names of the request classes, by number
  * @param customers names of the customers, by number
  * @param zones names of the zones, by number
- * @param kinds names of the machine kinds, by number
+ * @param kinds names of the instance types, by number
  * @param idleTimeoutTicks time after which endpoints close an idle connection
  * @param connectTimeoutTicks connect timeout
  * @param contractedRatePerSecond requests per second that all customers together may send to this sidecar by contract;
--- a/sidecar/src/main/java/trestlegrade/policy/AttemptMonitor.java
+++ b/sidecar/src/main/java/trestlegrade/policy/AttemptMonitor.java
@@ -18,12 +18,13 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * Feeds the start and end of attempts and the periodic ticks to all components that learn from them, in the order of
- * their dependencies. Times are ticks of 0.1 ms.
+ * Feeds the start and end of attempts and the periodic ticks to all components that use them, in the order of their
+ * dependencies. Times are ticks of 0.1 ms.
  */
 final class AttemptMonitor {
     /**
-     * 10 ms: two periods of the coarsest system clock in use, and half the usual tolerance for late final responses.
+     * 10 ms, which is two periods of the coarsest system clock in use and half the usual tolerance for late final
+     * responses.
      */
     static final long TICK_INTERVAL = 100;
     /** No ticks run while no transaction is open; the next tick accounts for at most this many skipped ones. */
@@ -62,7 +63,7 @@
         silenceDetector.onSent(now, endpoint);
     }
 
-    /** Records the end of an attempt; updates the statistics of its endpoint and of the expected wait. */
+    /** Records the end of an attempt in the statistics of its endpoint and in those of the expected wait. */
     void onAttemptEnded(long now, Transaction transaction, Attempt attempt, long durationTicks) {
         Endpoint endpoint = attempt.endpoint();
         silenceDetector.onAttemptEnded(now, endpoint);
--- a/sidecar/src/main/java/trestlegrade/policy/AttemptPlacer.java
+++ b/sidecar/src/main/java/trestlegrade/policy/AttemptPlacer.java
@@ -53,7 +53,7 @@
                 random);
     }
 
-    /** Takes over a change of the endpoint list. */
+    /** Called when the endpoint list has changed. */
     void onEndpointUpdates() {
         ringLayout.onEndpointUpdates();
     }
--- a/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
+++ b/sidecar/src/main/java/trestlegrade/policy/LoadBalancer.java
@@ -80,7 +80,7 @@
     /**
      * Applies the endpoint list or a change to it.
      *
-     * @param complete whether endpoints that are not in the updates have left
+     * @param complete whether endpoints that are not in the updates have been removed from the list
      * @param cached whether the list was known before (at start or reload), so that it does not show that discovery is
      *     reachable
      */
@@ -93,7 +93,7 @@
         dispatchWaiting(now);
     }
 
-    /** Handles a failed call for the list or the end of the subscription: schedules another call after a backoff. */
+    /** Handles a failed call for the list or the end of the watch: schedules another call after a backoff. */
     public void onEndpointListFailed(long now) {
         subscribeAt = now + discoveryBackoff.delayAfterFailure();
         scheduleTick();
@@ -119,8 +119,8 @@
     }
 
     /**
-     * Handles the start of a response that is streamed to the client, which meets the deadline. Called only by the
-     * simulator, because the sidecar process forwards only complete responses.
+     * Handles the start of a response that is streamed to the client; the transaction then meets its deadline. Called
+     * only by the simulator, because the sidecar process forwards only complete responses.
      */
     public void onStreaming(long id, int attempt) {
         Transaction transaction = transactions.get(id);
@@ -152,7 +152,7 @@
         transactions.removeIfFinished(transaction);
     }
 
-    /** Handles a client that has disconnected: its transaction needs no response. */
+    /** Handles a client that has disconnected: its transaction needs no final response. */
     public void onClientDisconnected(long now, long id) {
         Transaction transaction = transactions.get(id);
         if (transaction != null) {
--- a/sidecar/src/main/java/trestlegrade/policy/PolicyActions.java
+++ b/sidecar/src/main/java/trestlegrade/policy/PolicyActions.java
@@ -9,10 +9,11 @@
  */
 public interface PolicyActions {
     /**
-     * Starts the transaction's next attempt; attempts are numbered from 0 in the order of these calls.
+     * Sends the transaction's next attempt; attempts are numbered from 0 in the order of these calls.
      *
-     * @param timeoutTicks timeout of the attempt
-     * @param writeBefore the time from which an attempt must not be written any more if it still waits for a connection
+     * @param timeoutTicks time until the transaction's deadline, at which the attempt times out
+     * @param writeBefore the time before which the attempt must be written; it is not sent if it still waits for a
+     *     connection then
      */
     void send(long transactionId, long endpointId, long timeoutTicks, long writeBefore);
 
@@ -32,6 +33,6 @@
     /** Schedules one call of {@link LoadBalancer#onTick} after the delay. */
     void scheduleTick(long delayTicks);
 
-    /** Subscribes to changes of the endpoint list. */
+    /** Starts a watch of the endpoint list. */
     void subscribe();
 }
--- a/sidecar/src/main/java/trestlegrade/policy/TransactionTable.java
+++ b/sidecar/src/main/java/trestlegrade/policy/TransactionTable.java
@@ -8,8 +8,8 @@
 import trestlegrade.policy.request.Transaction;
 
 /**
- * The transactions of one sidecar, each kept until it has its final response and no attempt is in flight. Those without
- * a final response, the open ones, are listed in order of arrival.
+ * The transactions of one sidecar, each kept until it is closed and has no attempt in flight. Those that are not
+ * closed, the open ones, are listed in order of arrival.
  */
 final class TransactionTable {
     private final LongObjectHashMap<Transaction> byId = new LongObjectHashMap<>();
@@ -22,7 +22,7 @@
         open.add(transaction);
     }
 
-    /** Returns the transaction with this id, or null if it has finished. */
+    /** Returns the transaction with this id, or null if it is unknown or has finished. */
     Transaction get(long id) {
         return byId.get(id);
     }
--- a/sidecar/src/main/java/trestlegrade/policy/admission/FairShare.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/FairShare.java
@@ -14,7 +14,7 @@
 public final class FairShare {
     private static final long SPAN_TICKS = 50_000;
     private static final int BUCKETS = 5;
-    /** Tolerates a customer slightly above its quota, because random variation alone takes it there. */
+    /** Tolerates a customer slightly above its quota, because random variation alone can cause that. */
     private static final double QUOTA_TOLERANCE = 1.1;
 
     private final List<Customer> customers;
--- a/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/LoadShedder.java
@@ -19,7 +19,7 @@
 public final class LoadShedder {
     /** The lower limit of the permitted wait of any profile, as a fraction of the mean latency objective. */
     private static final double MIN_PERMITTED_FRACTION = 0.2;
-    /** How much larger this fraction is for the profile with the most revenue. */
+    /** How much larger the permitted fraction is for the profile with the most revenue. */
     private static final double REVENUE_FRACTION = 0.2;
     /** A wait of up to this multiple of the latency without queueing is always permitted. */
     private static final double PERMITTED_MULTIPLE_OF_MIN_LATENCY = 1.5;
@@ -115,9 +115,9 @@
     /**
      * Estimates the wait and adjusts the call drop rates.
      *
-     * @param periodsPassed periods of 10 ms since the last call; skipped periods lower the rates but never raise them
+     * @param elapsedPeriods periods of 10 ms since the last call; skipped periods lower the rates but never raise them
      */
-    public void onTick(long now, InFlightSummary inFlight, double periodsPassed) {
+    public void onTick(long now, InFlightSummary inFlight, double elapsedPeriods) {
         expectedWait = expectedWait(now, inFlight);
         waitObjectiveRatio = expectedWait / latency.meanLatencyObjectiveTicks();
         for (int i = 0; i < callDropRate.length; i++) {
@@ -125,7 +125,7 @@
             double step = STEP
                     * (expectedWait > permittedWait(permittedFraction[i])
                             ? Math.min(1, excess)
-                            : periodsPassed * Math.max(-1, excess));
+                            : elapsedPeriods * Math.max(-1, excess));
             callDropRate[i] = Math.max(0, Math.min(1, callDropRate[i] + step));
         }
     }
--- a/sidecar/src/main/java/trestlegrade/policy/admission/SlowStartBudget.java
+++ b/sidecar/src/main/java/trestlegrade/policy/admission/SlowStartBudget.java
@@ -12,15 +12,15 @@
  * Enforces rule 4: an endpoint that has just started receives a bounded amount of work while it warms up. Every path
  * that sends to an endpoint checks this budget. Each sidecar limits its own share without knowledge of the other
  * sidecars: it estimates the capacity available to it from the work that warm endpoints commit for it per unit of
- * weight, and from the work that this endpoint has committed. Neither exceeds the endpoint's capacity. Work has the
- * unit of {@link LatencyEstimator#work}; times are ticks of 0.1 ms.
+ * weight, and from the work that this endpoint has committed. Neither estimate exceeds the endpoint's capacity. Work
+ * has the unit of {@link LatencyEstimator#work}; times are ticks of 0.1 ms.
  */
 public final class SlowStartBudget {
     private static final long SPAN_TICKS = 100_000;
     private static final int BUCKETS = 10;
     /**
-     * The fraction used of what the rule allows if every sidecar sends its share. The rest is a margin, because
-     * capacity and costs are estimates.
+     * The fraction of its share of the allowed work that a sidecar uses. The rest is a margin, because capacity and
+     * costs are estimates.
      */
     private static final double SAFETY_FACTOR = 0.5;
     /**
@@ -82,8 +82,8 @@
 
     /**
      * Returns whether nothing was sent to the endpoint for so long that one attempt is allowed regardless of the
-     * budget. This is needed because in a fleet that starts as a whole nothing is known of any endpoint. If all
-     * sidecars do the same, the total is at most one core's share at the start.
+     * budget. This is needed because nothing is known of any endpoint while a fleet starts as a whole. Even if all
+     * sidecars use this exception, the total is at most what the rule allows for one core at the start.
      */
     private boolean mayTakeOccasionalAttempt(long now, Endpoint endpoint) {
         long minInterval = (long) (fleet.sidecarsPerEndpoint()
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/CallStatistics.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/CallStatistics.java
@@ -6,7 +6,7 @@
 import trestlegrade.policy.request.AttemptOutcome;
 
 /**
- * The call tracker of one endpoint: counts the calls, failures and latencies of this sidecar's attempts at it. Slowness
+ * The call tracker of one endpoint: the calls, failures and latencies of this sidecar's attempts at it. Slowness
  * is the ratio of an attempt's latency to its expected latency. Times are ticks of 0.1 ms.
  */
 public final class CallStatistics {
@@ -80,10 +80,10 @@
             consecutiveFailures = 0;
         }
         if (!failed || timedOut) {
-            double relativeLatency = durationTicks / attempt.expectedTicks();
+            double slowness = durationTicks / attempt.expectedTicks();
             latencySamples.add(now, 1);
-            slownessSums.add(now, relativeLatency);
-            recentSlowness += RECENT_SLOWNESS_WEIGHT * (relativeLatency - recentSlowness);
+            slownessSums.add(now, slowness);
+            recentSlowness += RECENT_SLOWNESS_WEIGHT * (slowness - recentSlowness);
         }
     }
 
@@ -128,7 +128,7 @@
         return latencySamples.total(now, span);
     }
 
-    /** Returns the sum of the slowness of these {@link #latencySamples}. */
+    /** Returns the sum of the slowness of the {@link #latencySamples}. */
     public double slownessSum(long now, long span) {
         return slownessSums.total(now, span);
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/DropRate.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/DropRate.java
@@ -1,6 +1,6 @@
 package trestlegrade.policy.endpoint;
 
-/** The drop rate of one endpoint, and the measurements on which it was last graded. */
+/** The drop rate of one endpoint, and the measurements by which the endpoint was last graded. */
 public final class DropRate {
     private double value;
     private double latencySamples;
@@ -37,7 +37,7 @@
         return latencySamples;
     }
 
-    /** Returns the sum of the slowness of these samples. */
+    /** Returns the sum of the slowness of the {@link #latencySamples}. */
     public double slownessSum() {
         return slownessSum;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/EjectionState.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/EjectionState.java
@@ -1,9 +1,9 @@
 package trestlegrade.policy.endpoint;
 
 /**
- * The ejection state of one endpoint and of its half-open probes. An ejected endpoint receives probes. The delay before
- * the next probe doubles with each failed one, and the endpoint is reinstated after a given number of successes. Times
- * are ticks of 0.1 ms.
+ * The ejection state of one endpoint, including its half-open probes. An ejected endpoint receives probes. The delay
+ * before the next probe doubles with each failed one, and the endpoint is reinstated after a given number of successes.
+ * Times are ticks of 0.1 ms.
  */
 public final class EjectionState {
     private static final long INITIAL_PROBE_DELAY_TICKS = 5_000;
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/Endpoint.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/Endpoint.java
@@ -43,7 +43,7 @@
         slowStart = new SlowStart(settings);
     }
 
-    /** Applies the endpoint's entry in the list; without {@code weighted} all weights are 1. */
+    /** Applies the endpoint's entry in the list; if not {@code weighted}, the weight is 1. */
     void applyUpdate(EndpointUpdate update, InstanceType newType, boolean weighted) {
         ready = update.state() == EndpointUpdate.State.READY;
         gone = false;
@@ -123,7 +123,7 @@
         return !ejection.isEjected() && slowStart.capacityFraction(now) >= 1;
     }
 
-    /** Returns the ring points that remain after the drop rate, at least the design's minimum of one. */
+    /** Returns the ring points that remain after the drop rate is applied, at least the design's minimum of one. */
     public int effectiveRingPoints() {
         return Math.max(1, (int) Math.round(ringPoints * (1 - dropRate.value())));
     }
@@ -235,7 +235,7 @@
         return ejection;
     }
 
-    /** Returns whether the endpoint is known to serve new requests. */
+    /** Returns the state that shows whether the endpoint is known to serve new requests. */
     public ServingState servingState() {
         return servingState;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/EndpointTable.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/EndpointTable.java
@@ -21,7 +21,7 @@
         this.settings = settings;
     }
 
-    /** Applies updates; if {@code complete}, the endpoints that none of them names have left the list. */
+    /** Applies updates; if {@code complete}, the endpoints that none of them names are marked as removed. */
     public void apply(long now, List<EndpointUpdate> updates, boolean complete) {
         if (complete) {
             endpoints.forEach(Endpoint::markGone);
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Adds an endpoint. It reuses the index of an endpoint that has left the list if there is one, because endpoints
-     * are replaced all day.
+     * Adds an endpoint. It reuses the index of an endpoint that was removed from the list if there is one, because
+     * endpoints are replaced all day.
      */
     private Endpoint add(long id) {
         int index = findFreeIndex();
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Returns the mean drop rate of the ready endpoints. An endpoint that starts begins with it, because it does not
-     * cause the slowness of a fleet that is slow as a whole.
+     * Returns the mean drop rate of the ready endpoints, which is the initial drop rate of an endpoint that has just
+     * started. If the fleet is slow as a whole, the new endpoint is not the cause.
      */
     private double meanDropRate() {
         return endpoints.stream()
@@ -104,12 +104,12 @@
         return endpoints.get(index);
     }
 
-    /** Returns the number of indexes, including those of endpoints that have left the list. */
+    /** Returns the number of indexes, including those of endpoints that were removed from the list. */
     public int size() {
         return endpoints.size();
     }
 
-    /** Returns a view of all endpoints by index, including those that have left the list. */
+    /** Returns a view of all endpoints by index, including those that were removed from the list. */
     public List<Endpoint> all() {
         return endpointsView;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/EndpointUpdate.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/EndpointUpdate.java
@@ -12,7 +12,7 @@
         return new EndpointUpdate(id, zone, instanceType, cell, State.DRAINING, weight, launchedAt);
     }
 
-    /** Whether the endpoint accepts new work, only finishes its current work, or has left the list. */
+    /** Whether the endpoint accepts new work, only finishes its current work, or was removed from the list. */
     public enum State {
         READY,
         DRAINING,
--- a/sidecar/src/main/java/trestlegrade/policy/estimate/DecayingValue.java
+++ b/sidecar/src/main/java/trestlegrade/policy/estimate/DecayingValue.java
@@ -10,7 +10,7 @@
     private double value;
     private long setAtTicks;
 
-    /** Creates a value of 0 that falls to half of its value within {@code halfLifeTicks}. */
+    /** Creates a value that is 0 at first and falls by half in each {@code halfLifeTicks}. */
     public DecayingValue(double halfLifeTicks) {
         this.halfLifeTicks = halfLifeTicks;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/estimate/LatencyEstimator.java
+++ b/sidecar/src/main/java/trestlegrade/policy/estimate/LatencyEstimator.java
@@ -13,7 +13,7 @@
 
     /** The weight of a sample in a moving mean, which thus covers about the latest fifty samples. */
     private static final double STEP = 0.02;
-    /** The weight of a sample in the latency of its profile is at most one in so many. */
+    /** The weight of a sample in the latency of its profile is at most 1 divided by this. */
     private static final int MIN_SAMPLES = 5;
     /** The fraction of an attempt's latency that does not depend on its cost hint. */
     private static final double FIXED_FRACTION = 0.3;
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Returns the lowest mean latency of all profiles, which rises slowly over time; it approximates the latency
-     * without queueing.
+     * Returns the lowest value that the mean latency over all profiles has had. This value is raised slowly over time;
+     * it approximates the latency without queueing.
      */
     public double minMeanLatencyTicks() {
         return minMeanLatency;
--- a/sidecar/src/main/java/trestlegrade/policy/health/DropRateGrader.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/DropRateGrader.java
@@ -12,14 +12,16 @@
 /**
  * Grades each endpoint and adjusts its drop rate, which reduces its points on the ring. An endpoint is graded down if
  * its latency is high compared with that of the others, or if more than a tenth of its calls fail. The design takes
- * this from the degrader of D2, the load balancer of Rest.li. The step is 0.05 per second, because the design's maximum
- * step of 0.25 in 5 s is split into five. An endpoint with few latency samples is graded partly by its instance type,
- * because a sidecar with little traffic never gets enough samples from a single endpoint. Times are ticks of 0.1 ms.
+ * this rule from the degrader of D2, the load balancer of Rest.li. The step is 0.05 per second, because the design's
+ * maximum step of 0.25 in 5 s is split into five. An endpoint with few latency samples is graded partly by its instance
+ * type, because a sidecar with little traffic never gets enough samples from a single endpoint. Times are ticks of 0.1
+ * ms.
  */
 public final class DropRateGrader {
     private static final long STEP_INTERVAL_TICKS = 10_000;
     /**
-     * Steps that were skipped while idle are made up for. Twenty suffice, because they take any drop rate from 1 to 0.
+     * At most this many of the steps that were skipped while the sidecar was idle are made up for. They suffice,
+     * because twenty steps take a drop rate from 1 to 0.
      */
     private static final int MAX_DUE_STEPS = 20;
 
@@ -92,13 +94,13 @@
         double slownessSum = 0;
         double sampleCount = 0;
         for (Endpoint endpoint : endpoints.all()) {
-            DropRate grade = endpoint.dropRate();
-            grade.setSamples(
+            DropRate dropRate = endpoint.dropRate();
+            dropRate.setSamples(
                     endpoint.calls().latencySamples(now, span), endpoint.calls().slownessSum(now, span));
             if (endpoint.isInUse()) {
-                endpoint.type().add(grade.slownessSum(), grade.latencySamples());
-                slownessSum += grade.slownessSum();
-                sampleCount += grade.latencySamples();
+                endpoint.type().add(dropRate.slownessSum(), dropRate.latencySamples());
+                slownessSum += dropRate.slownessSum();
+                sampleCount += dropRate.latencySamples();
             }
         }
         return sampleCount == 0 ? 1 : slownessSum / sampleCount;
@@ -112,12 +114,13 @@
         double[] means = new double[fleet.inUse()];
         int count = 0;
         for (Endpoint endpoint : endpoints.all()) {
-            DropRate grade = endpoint.dropRate();
+            DropRate dropRate = endpoint.dropRate();
             InstanceType type = endpoint.type();
             double typeMean = (type.slownessSum() + MIN_CALLS * fleetMean) / (type.latencySamples() + MIN_CALLS);
-            grade.setMeanSlowness((grade.slownessSum() + MIN_CALLS * typeMean) / (grade.latencySamples() + MIN_CALLS));
+            dropRate.setMeanSlowness(
+                    (dropRate.slownessSum() + MIN_CALLS * typeMean) / (dropRate.latencySamples() + MIN_CALLS));
             if (endpoint.isInUse() && count < means.length) {
-                means[count++] = grade.meanSlowness();
+                means[count++] = dropRate.meanSlowness();
             }
         }
         Arrays.sort(means, 0, count);
--- a/sidecar/src/main/java/trestlegrade/policy/health/HalfOpenProbes.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/HalfOpenProbes.java
@@ -10,8 +10,8 @@
 import trestlegrade.policy.retry.RetryPolicy;
 
 /**
- * Sends a few first attempts as half-open probes to ejected endpoints, one at a time to each, so that they can be
- * reinstated. Only idempotent transactions are used, because they can be repeated when the probe fails. Rules 3 and 4
+ * Sends a few first attempts as half-open probes to ejected endpoints, one at a time to each, so that the endpoints can
+ * be reinstated. Only idempotent transactions are used, because they can be repeated if the probe fails. Rules 3 and 4
  * apply to probes too.
  */
 public final class HalfOpenProbes {
@@ -43,7 +43,7 @@
         this.random = random;
     }
 
-    /** Returns the ejected endpoint that this transaction shall probe, or null. */
+    /** Returns the ejected endpoint that this transaction is to probe, or null. */
     public Endpoint endpointToProbe(long now, Transaction transaction) {
         if (fleet.ejected() == 0
                 || transaction.hasAttempts()
--- a/sidecar/src/main/java/trestlegrade/policy/health/OutlierEjection.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/OutlierEjection.java
@@ -18,14 +18,15 @@
     /** The number of failures that ejects an endpoint, consecutive or within two fifths of the graded span. */
     private static final int MIN_FAILURES = 3;
     /**
-     * The minimum fraction of the calls within that span that must have failed. It is far above any usual error rate.
+     * The minimum fraction of the calls within two fifths of the graded span that must have failed. It is far above any
+     * usual error rate.
      */
     public static final double HIGH_FAILURE_RATIO = 0.4;
 
     private static final int MIN_FAILED_CONNECTIONS = 2;
     private static final int SUCCESSES_AFTER_FAILURES = 3;
     private static final int SUCCESSES_AFTER_SILENCE = 1;
-    /** An ejection must leave at least one in so many of the weight in use. */
+    /** An ejection must leave at least the weight in use divided by this. */
     private static final int MIN_REMAINING_WEIGHT_DIVISOR = 3;
 
     private final EndpointTable endpoints;
@@ -47,7 +48,7 @@
     }
 
     /**
-     * Called when an attempt was not ended by this sidecar; ejects its endpoint or reinstates it.
+     * Called when an attempt has ended that this sidecar did not end itself; may eject or reinstate the endpoint.
      *
      * @param failureSpanTicks the span within which failures count together
      */
--- a/sidecar/src/main/java/trestlegrade/policy/health/SilenceDetector.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/SilenceDetector.java
@@ -9,15 +9,15 @@
 import trestlegrade.policy.request.Transaction;
 
 /**
- * Detects silent endpoints, which have stopped responding, as an accrual failure detector. At each tick, every attempt
- * in flight adds to the suspicion of its endpoint: the time since the endpoint's last response, divided by the usual
- * duration of an attempt. With exponentially distributed latencies, a healthy endpoint exceeds a suspicion of x in one
- * of e^x ticks.
+ * Detects silent endpoints, which are endpoints that have stopped responding. This is an accrual failure detector: at
+ * each tick, every attempt in flight adds to the suspicion of its endpoint the time since the endpoint's last response,
+ * divided by the usual duration of an attempt. With exponentially distributed latencies, a healthy endpoint exceeds a
+ * suspicion of x in one of e^x ticks.
  */
 public final class SilenceDetector implements InFlightSummary {
     /**
-     * Above this no non-idempotent transaction is sent to the endpoint. A healthy endpoint exceeds it in one of twenty
-     * ticks.
+     * Above this the endpoint is suspect, and a non-idempotent transaction is sent to it only if no healthy
+     * endpoint is found. A healthy endpoint exceeds it in one of twenty ticks.
      */
     private static final double SUSPECT_THRESHOLD = 3;
     /** Above this the endpoint is ejected. A healthy endpoint exceeds it in about one of eight thousand ticks. */
@@ -43,8 +43,8 @@
     /**
      * Measures the silence of each endpoint.
      *
-     * @param recentTicksPerCommit duration of attempts per commit in the latest second; the expected duration at the
-     *     time of sending is not sufficient once all endpoints have become slow
+     * @param recentTicksPerCommit total duration of the attempts that ended in the latest second, divided by the number
+     *     of commits; the expected duration at the time of sending is too short once all endpoints have become slow
      */
     public void measure(long now, List<Transaction> open, double recentTicksPerCommit) {
         endpointsWithAttempts.forEach(endpoint -> endpoint.silence().clear());
--- a/sidecar/src/main/java/trestlegrade/policy/lease/EndpointListLease.java
+++ b/sidecar/src/main/java/trestlegrade/policy/lease/EndpointListLease.java
@@ -3,12 +3,12 @@
 /**
  * The lease under which a sidecar sends to the endpoints of its list. Not thread-safe: confined to the event loop.
  *
- * <p>Guards against sending to an endpoint that is draining or has left. While discovery is silent, an endpoint may
- * begin to drain without this sidecar being notified; a fixed time later the change counts as notified nevertheless.
- * Each message from discovery renews the lease. Without messages the lease expires before the drain grace of an
- * endpoint that began to drain unnoticed can end. The poll interval of discovery has no influence. Of failed calls,
- * only a refused connection renews the lease ({@link #discoveryUnreachable}), because no change can count as notified
- * while nothing listens at discovery's address.
+ * <p>Guards against sending to an endpoint that is draining or has been removed from the list. While discovery is
+ * silent, an endpoint may begin to drain without this sidecar being notified; a fixed time later the change counts as
+ * notified nevertheless. Each message from discovery renews the lease. Without messages the lease expires before the
+ * end of the drain grace of any endpoint that may have begun to drain unnoticed. The poll interval of discovery has no
+ * influence. Of failed calls, only a refused connection renews the lease ({@link #discoveryUnreachable}), because no
+ * change can count as notified while nothing listens at discovery's address.
  *
  * <p>A draining endpoint rejects new requests, so an endpoint that served a request was not draining when that request
  * was sent. Each endpoint therefore has a lease of its own from that time on, which lets a sidecar work without
--- a/sidecar/src/main/java/trestlegrade/policy/random/SeededRandom.java
+++ b/sidecar/src/main/java/trestlegrade/policy/random/SeededRandom.java
@@ -9,7 +9,7 @@
  * <p>A given seed yields the same decisions in every run and on every JVM. All sidecars compute the same positions.
  */
 public final class SeededRandom {
-    /** The odd number nearest to 2^64 over the golden ratio, the multiplier of Fibonacci hashing. */
+    /** The odd number nearest to 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing. */
     private static final long FIBONACCI_MULTIPLIER = 0x9E3779B97F4A7C15L;
     /** Number of positions on the hash ring, which are 0 to 2^32 - 1. */
     private static final double POSITION_COUNT = 4294967296.0;
--- a/sidecar/src/main/java/trestlegrade/policy/request/Attempt.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/Attempt.java
@@ -5,8 +5,8 @@
 /** One attempt of a transaction at one endpoint. Times are ticks of 0.1 ms. */
 public final class Attempt {
     /**
-     * With heavy-tailed latencies one attempt in a hundred takes ten times as long as the others and would dominate the
-     * mean of a second.
+     * Limits the effect of a single attempt on a mean. With heavy-tailed latencies one attempt in a hundred takes ten
+     * times as long as the others and would dominate the mean over one second.
      */
     private static final double MAX_EXPECTED_MULTIPLE = 3;
 
@@ -44,7 +44,7 @@
         return expectedTicks;
     }
 
-    /** Returns this age or duration for use in a mean, capped at three times the expected duration. */
+    /** Returns the given age or duration for use in a mean, capped at three times the expected duration. */
     public double cappedTicks(long ticks) {
         return Math.min((double) ticks, MAX_EXPECTED_MULTIPLE * expectedTicks);
     }
--- a/sidecar/src/main/java/trestlegrade/policy/request/AttemptOutcome.java
+++ b/sidecar/src/main/java/trestlegrade/policy/request/AttemptOutcome.java
@@ -4,7 +4,7 @@
 public enum AttemptOutcome {
     /** Status 200. */
     COMMITTED(false),
-    /** Any other complete response. */
+    /** A complete response other than those of {@link #COMMITTED} and {@link #REJECTED}. */
     ERROR(false),
     /** Status 503 or 504 with {@code X-Never-Ran: 1}: the endpoint rejected the request without processing it. */
     REJECTED(true),
--- a/sidecar/src/main/java/trestlegrade/policy/retry/DeadlinePolicy.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/DeadlinePolicy.java
@@ -13,8 +13,8 @@
  */
 public final class DeadlinePolicy {
     /**
-     * Without an available endpoint, a transaction waits for at most one in so many of the latency objective, because
-     * the rest is needed for processing.
+     * A transaction waits for an endpoint for at most its latency objective divided by this (or the time to its
+     * deadline divided by this, if that is shorter), because the rest is needed for processing.
      */
     private static final int WAIT_DIVISOR = 4;
 
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Returns why the transaction gets no (further) attempt, or null if it does. A retry is made only if the time left
-     * exceeds the expected duration and the budget has a token.
+     * Returns why the transaction gets no (further) attempt, or null if it gets one. A retry is made only if the
+     * remaining time exceeds the expected duration, and the budget has a token or the retry adds no work.
      */
     public RejectionReason rejectionReason(long now, Transaction transaction) {
         if (now >= transaction.deadline()) {
--- a/sidecar/src/main/java/trestlegrade/policy/retry/DiscoveryBackoff.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/DiscoveryBackoff.java
@@ -7,8 +7,8 @@
  * Schedules one sidecar's calls to discovery, with exponential backoff and a jitter that grows with the fleet. Not
  * thread-safe.
  *
- * <p>This prevents a retry storm. Discovery serves calls one after the other, and a call that times out in its queue
- * still takes its turn. If the calls of a fleet fail together and are repeated together, they fail together again.
+ * <p>This prevents a retry storm. Discovery serves calls one after the other, and also spends time on calls that have
+ * timed out in its queue. If the calls of a fleet fail together and are repeated together, they fail together again.
  * Spreading them over the time that discovery needs for all of them lets each be served.
  *
  * <p>Delays are ticks (tenths of a millisecond).
--- a/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
+++ b/sidecar/src/main/java/trestlegrade/policy/retry/RetryPolicy.java
@@ -13,14 +13,14 @@
  * its client may be notified that it had no effect. Every path that sends or rejects checks this policy.
  *
  * <p>An idempotent transaction may always be repeated. A transaction with an idempotency key may be repeated within its
- * deduplication window, which begins with the first attempt that may have run, at the endpoints that share the journal
- * of that attempt. Any other transaction may be repeated only while no attempt may have run. At most one attempt is in
- * flight. Times are ticks of 0.1 ms.
+ * deduplication window, which begins with the first attempt that may have been executed, at the endpoints that share
+ * the journal of that attempt. Any other transaction may be repeated only while no attempt may have been executed. At
+ * most one attempt is in flight. Times are ticks of 0.1 ms.
  */
 public final class RetryPolicy {
     /**
-     * This much of the deduplication window (0.1 s) is reserved, because a resend takes time to arrive and may wait for
-     * a connection.
+     * Nothing is resent in the last 0.1 s of the deduplication window, because a resend takes time to arrive and may
+     * wait for a connection.
      */
     private static final long WINDOW_MARGIN_TICKS = 1_000;
 
@@ -65,7 +65,7 @@
                         && profile.deduplicationScope() == DeduplicationScope.ALL);
     }
 
-    /** Returns whether settings and profile allow a retry after an attempt that has been cancelled. */
+    /** Returns whether the settings and the profile allow a retry after an attempt that has been cancelled. */
     public boolean mayReplaceCancelled(Transaction transaction) {
         return settings.cancellationAllowed()
                 && profile(transaction).idempotency() != Idempotency.NON_IDEMPOTENT
@@ -77,7 +77,7 @@
         return profile(transaction).idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    /** Returns whether the transaction ends with the first attempt that may have run. */
+    /** Returns whether the transaction must not be repeated once an attempt may have been executed. */
     public boolean isNonIdempotent(Transaction transaction) {
         return profile(transaction).idempotency() == Idempotency.NON_IDEMPOTENT;
     }
--- a/sidecar/src/main/java/trestlegrade/policy/selection/EndpointSelector.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/EndpointSelector.java
@@ -23,8 +23,8 @@
     /** A key moves away from an endpoint whose drop rate exceeds this. */
     private static final double MAX_EVEN_LOAD_DROP_RATE = 0.5;
     /**
-     * As a fraction of the latency objective: once the expected wait is close to what every profile permits, all
-     * selections require even load.
+     * All selections require even load while the expected wait is at least this fraction of the latency objective,
+     * because it is then close to what every profile permits.
      */
     private static final double EVEN_LOAD_WAIT_RATIO = 0.15;
     /**
--- a/sidecar/src/main/java/trestlegrade/policy/selection/KeyAffinity.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/KeyAffinity.java
@@ -5,14 +5,15 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * Derives the ring position from the key instead of at random if endpoints cache by key; the position is the same at
- * every sidecar. A hot key gets several positions, in proportion to its share of this sidecar's transactions, and each
- * transaction uses a random one of them. With a single position a hot key would overload its endpoint.
+ * Derives the ring position of a transaction from its key if endpoints cache by key. Without this, the position is
+ * random. The position of a key is the same at every sidecar. A hot key gets several positions, in proportion to its
+ * share of this sidecar's transactions, and each transaction uses a random one of them. With a single position a hot
+ * key would overload its endpoint.
  */
 public final class KeyAffinity {
     /**
-     * The load of one position, as a fraction of an endpoint's even share. With a half, positions that coincide at an
-     * endpoint rarely exceed one even share.
+     * The load of one position, as a fraction of an endpoint's even share. With a value of one half, positions that
+     * coincide at an endpoint rarely exceed one even share.
      */
     private static final double SHARE_PER_POSITION = 0.5;
 
--- a/sidecar/src/main/java/trestlegrade/policy/selection/KeyShareEstimator.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/KeyShareEstimator.java
@@ -1,9 +1,9 @@
 package trestlegrade.policy.selection;
 
 /**
- * Estimates the fraction of the latest transactions that each key had. It keeps one key in each of a fixed number of
- * slots, and a later key replaces the earlier one in its slot. Counts decay exponentially with the number of
- * transactions.
+ * Estimates the share of each key, which is its fraction of the latest transactions. It keeps one key in each of a
+ * fixed number of slots, and a later key replaces the earlier one in its slot. Counts decay exponentially with the
+ * number of transactions.
  */
 final class KeyShareEstimator {
     /** Sufficient to detect a key whose share equals that of one endpoint in a hundred. */
@@ -25,8 +25,8 @@
      * Counts the latest transaction for its key; returns the key's share, 0 to 1.
      *
      * @param hash any hash of the key
-     * @param unknownTransactions number of transactions with unknown keys to add, so that the first key does not get a
-     *     large share
+     * @param unknownTransactions number of transactions with unknown keys that are added to the total, so that the
+     *     first key does not get a large share
      */
     double onKey(long key, long hash, double unknownTransactions) {
         int slot = (int) (hash & SLOTS - 1);
@@ -35,7 +35,8 @@
         counts[slot] = previousCount + 1;
         countedAt[slot] = arrivals;
         double totalCount = HALF_LIFE_TRANSACTIONS / Math.log(2) * (1 - decayFactor(arrivals));
-        // Half a transaction is added, so that a key that is not known yet counts as spread over all endpoints.
+        // Half a transaction is added, so that an unknown key has about the even share of one endpoint while there are
+        // few transactions, as if they were spread over all endpoints.
         return (previousCount + 0.5) / (totalCount + unknownTransactions);
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/selection/RingLayout.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/RingLayout.java
@@ -7,12 +7,12 @@
 import trestlegrade.policy.settings.PolicySettings;
 
 /**
- * Decides how many points each endpoint in use has on the ring: the design's number for a healthy endpoint of mean
- * weight, and a number in proportion to the weight for others. The ring is rebuilt at the first selection after a
- * change of the list.
+ * Decides how many points each endpoint in use has on the ring while its drop rate is 0: the design's number for an
+ * endpoint of mean weight, and a number in proportion to the weight for others. The ring is rebuilt at the first
+ * selection after a change of the list.
  */
 public final class RingLayout {
-    /** The design's number of points for a healthy endpoint of mean weight. */
+    /** The design's number of points for an endpoint of mean weight whose drop rate is 0. */
     private static final int POINTS_AT_MEAN_WEIGHT = 100;
     /**
      * The mean weight is updated only when it has changed by a quarter, so that one additional endpoint does not change
--- a/sidecar/src/main/java/trestlegrade/policy/selection/SelectionPass.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/SelectionPass.java
@@ -2,7 +2,7 @@
 
 /**
  * The passes of a selection over the ring, ordered from the most to the fewest criteria. Each pass drops the criteria
- * of one concern. Hard constraints apply in every pass: draining and gone endpoints have no points, a transaction is
+ * of one concern. Hard constraints apply in every pass: draining and removed endpoints have no points, a transaction is
  * sent again only where that is allowed, and the lease and the slow-start budget hold.
  */
 enum SelectionPass {
--- a/sidecar/src/main/java/trestlegrade/policy/selection/ZoneAffinity.java
+++ b/sidecar/src/main/java/trestlegrade/policy/selection/ZoneAffinity.java
@@ -10,14 +10,15 @@
  */
 public final class ZoneAffinity {
     /**
-     * Below this cost, as a fraction of the worth of a transaction, it is not worthwhile to overload the local zone.
+     * Below this cost, as a fraction of the value of a first attempt, selections are not limited to the local zone,
+     * because the saving is not worth an overload of the local zone.
      */
     private static final double MIN_CROSS_ZONE_COST = 0.05;
     /**
      * The local zone is overloaded if the expected wait exceeds this multiple of the wait that every profile permits.
      */
     private static final double OVERLOAD_WAIT_MULTIPLE = 2;
-    /** Change per tick. After one second of overload all selections may cross zones; the return takes as long. */
+    /** Change per tick. After one second of overload all selections may cross zones; the reverse takes as long. */
     private static final double STEP = 0.01;
 
     private final FleetSummary fleet;
@@ -36,15 +37,15 @@
     /**
      * Adjusts the fraction of selections that may cross zones.
      *
-     * @param periodsPassed periods of 10 ms since the last call; skipped periods decrease the fraction but never
+     * @param elapsedPeriods periods of 10 ms since the last call; skipped periods decrease the fraction but never
      *     increase it
      */
-    public void onTick(double expectedWaitTicks, double minPermittedWaitTicks, double periodsPassed) {
+    public void onTick(double expectedWaitTicks, double minPermittedWaitTicks, double elapsedPeriods) {
         if (!crossingCosts) {
             return;
         }
         boolean overloaded = expectedWaitTicks > OVERLOAD_WAIT_MULTIPLE * minPermittedWaitTicks;
-        double step = overloaded ? STEP : -STEP * periodsPassed;
+        double step = overloaded ? STEP : -STEP * elapsedPeriods;
         crossZoneFraction = Math.max(0, Math.min(1, crossZoneFraction + step));
     }
 
--- a/sidecar/src/main/java/trestlegrade/policy/settings/PolicySettings.java
+++ b/sidecar/src/main/java/trestlegrade/policy/settings/PolicySettings.java
@@ -14,7 +14,7 @@
  * @param retryAfterAllowed whether a rejection may carry a Retry-After
  * @param maxRetryAfterTicks the longest Retry-After that clients observe
  * @param listPolled true if changes of the endpoint list arrive only by watch or poll, false if they are pushed
- * @param maxPollIntervalTicks the longest time without a poll of discovery before the list counts as stale
+ * @param maxPollIntervalTicks the longest permitted time between polls of discovery
  * @param weights what the weights in the endpoint list measure
  * @param keyAffinity whether an endpoint needs less work for a key that it served recently
  * @param zone number of the local availability zone
@@ -25,7 +25,7 @@
  *     most 1
  * @param slowStartInitialFraction minimum fraction of its capacity that an endpoint has when it starts
  * @param slowStartTicks time after its start at which an endpoint has its full capacity (end of slow start)
- * @param crashMultiple load, as a multiple of its current capacity, at which an endpoint in slow start crashes
+ * @param crashMultiple load at which an endpoint in slow start crashes, as a multiple of its current capacity
  * @param crashTicks time for which that load must last before the endpoint crashes
  */
 public record PolicySettings(
@@ -87,7 +87,9 @@
 
     /** Idempotency of a profile: the effect of executing a transaction more than once. */
     public enum Idempotency {
-        /** Harmless: a transaction may be sent again, and rejected as having had no effect, at any time. */
+        /**
+         * Harmless: at any time, a transaction may be sent again, and its client may be notified that it had no effect.
+         */
         IDEMPOTENT,
         /**
          * Harmless within a group of endpoints and a time window, where the endpoints deduplicate by idempotency key.
@@ -115,7 +117,7 @@
      *
      * @param latencyObjectiveTicks the latency objective; a response within it earns the full revenue
      * @param deadlineTicks how long a client waits in total, including all retries
-     * @param priorityWeight value of a served request, in any unit that is common to all profiles
+     * @param priorityWeight revenue of a served request, in any unit that is common to all profiles
      * @param idempotency effect of a repeated execution
      * @param deduplicationScope endpoints that deduplicate together; {@link DeduplicationScope#ALL} unless idempotent
      *     by key
@@ -133,7 +135,7 @@
     /**
      * One customer.
      *
-     * @param share its quota as a fraction of the service, from 0 to 1
+     * @param share its quota as a fraction of the arrivals, from 0 to 1
      */
     public record Customer(double share) {}
 }
--- a/sidecar/src/main/java/trestlegrade/simulator/EndpointLists.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/EndpointLists.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import trestlegrade.policy.endpoint.EndpointUpdate;
 
-/** The numbered endpoint lists that all instances share; a new list replaces the previous one with its number. */
+/** The numbered endpoint lists that all instances share; a new list replaces the previous one with the same number. */
 final class EndpointLists {
     private static final int MAX_LISTS = 16;
     private static final int ROW_BYTES = 22;
@@ -49,12 +49,12 @@
     private static EndpointUpdate row(BatchReader batch) throws MalformedFrameException {
         long id = batch.u32();
         int zone = batch.u8();
-        int kind = batch.u16();
+        int instanceType = batch.u16();
         int cell = batch.u16();
         EndpointUpdate.State state = state(batch.u8());
         double weight = batch.f32();
-        long launched = batch.ticks();
-        return new EndpointUpdate(id, zone, kind, cell, state, weight, launched);
+        long launchedAt = batch.ticks();
+        return new EndpointUpdate(id, zone, instanceType, cell, state, weight, launchedAt);
     }
 
     private static EndpointUpdate.State state(int code) throws MalformedFrameException {
--- a/sidecar/src/main/java/trestlegrade/simulator/EventCode.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/EventCode.java
@@ -14,7 +14,7 @@
  * <tr><td>1030</td><td>begun</td><td>STREAM_STARTED</td><td>transaction u32, attempt u8, endpoint u32, age f64
  *     ms</td></tr>
  * <tr><td>1040</td><td>verdict</td><td>ATTEMPT_ENDED</td><td>transaction u32, attempt u8, endpoint u32, outcome u8,
- *     duration f64 ms, finished u8, load report (u8 count, f32 each)</td></tr>
+ *     duration f64 ms, closed u8, load report (u8 count, f32 each)</td></tr>
  * <tr><td>1050</td><td>left</td><td>CLIENT_DISCONNECTED</td><td>transaction u32</td></tr>
  * <tr><td>1060</td><td>reminder</td><td>TIMER</td><td>token u64</td></tr>
  * <tr><td>1070</td><td>ping_result</td><td>HEALTH_CHECK_ENDED</td><td>duration f64, outcome u8, endpoint u32, load
@@ -22,7 +22,7 @@
  * <tr><td>1080</td><td>datagram</td><td>PEER_MESSAGE</td><td>sender u16, data (u16 length, bytes); ignored</td></tr>
  * <tr><td>1090</td><td>shutdown</td><td>STOP</td><td></td></tr>
  * <tr><td>1100</td><td>snapshot_rows</td><td>ENDPOINT_LIST</td><td>(no instance) list u32, rows (u32 count, 22 bytes
- *     each: endpoint u32, zone u8, kind u16, cell u16, state u8, weight f32, launched f64 ms)</td></tr>
+ *     each: endpoint u32, zone u8, instance type u16, cell u16, state u8, weight f32, launch time f64 ms)</td></tr>
  * </table>
  */
 enum EventCode {
--- a/sidecar/src/main/java/trestlegrade/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/trestlegrade/simulator/SimulatorAdapter.java
@@ -10,8 +10,8 @@
 import trestlegrade.policy.request.AttemptOutcome;
 
 /**
- * Runs the load balancers of many sidecars for a simulator. Decodes each batch of events from the input into calls of
- * these instances, and writes their actions as one reply. Single-threaded.
+ * Runs the load balancers of many sidecars, called instances, for a simulator. Decodes each batch of events from the
+ * input into calls of the instances, and writes their actions as one reply. Single-threaded.
  *
  * <p>{@link EventCode} and {@link ActionCode} list the records. The outcome of an attempt is encoded as ten times its
  * position in {@link AttemptOutcome}, counted from one.
@@ -159,12 +159,12 @@
         int profile = batch.u8();
         int customer = batch.i32();
         long key = batch.u64();
-        long timeout = batch.ticks();
+        long timeoutTicks = batch.ticks();
         double costMillis = batch.f64();
         boolean costValid = (batch.u16() & FLAG_COST_VALID) != 0 && costMillis > 0;
-        long cost = costValid ? BatchReader.toTicks(costMillis) : 0;
+        long costHint = costValid ? BatchReader.toTicks(costMillis) : 0;
         if (instance != null) {
-            instance.onArrival(now, transaction, profile, customer, key, timeout, cost);
+            instance.onArrival(now, transaction, profile, customer, key, timeoutTicks, costHint);
         }
     }
 
@@ -182,12 +182,12 @@
         int attempt = batch.u8();
         batch.skip(Integer.BYTES); // The endpoint is not needed: it follows from the attempt.
         int outcomeCode = batch.u8();
-        long duration = batch.ticks();
-        boolean finished = batch.u8() != 0;
+        long durationTicks = batch.ticks();
+        boolean closed = batch.u8() != 0;
         skipLoadReport();
         AttemptOutcome outcome = outcome(outcomeCode);
         if (instance != null) {
-            instance.onAttemptEnded(now, transaction, attempt, outcome, duration, finished);
+            instance.onAttemptEnded(now, transaction, attempt, outcome, durationTicks, closed);
         }
     }
 
