--- a/sidecar/src/test/java/trestlegrade/DeployFileTest.java
+++ b/sidecar/src/test/java/trestlegrade/DeployFileTest.java
@@ -14,7 +14,7 @@
 import trestlegrade.lab.ProgramFiles;
 
 /**
- * Checks the paths and the command in deploy/balancer.toml. Its policy key must list each file because it takes no
+ * Checks the paths and the command in deploy/balancer.toml. Its policy key must list each file because the key takes no
  * folders, so a new class is easily forgotten.
  */
 class DeployFileTest {
--- a/sidecar/src/test/java/trestlegrade/policy/DropRateGraderTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/DropRateGraderTest.java
@@ -28,8 +28,8 @@
             AttemptOutcome outcome, long durationTicks, int seconds, double min, double max) {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         int attempts = harness.runTraffic(seconds * 10_000L, 103, outcome, durationTicks);
-        double drop = harness.loadBalancer.endpoint(103).dropRate().value();
-        assertTrue(drop >= min && drop <= max, "drop rate " + drop);
+        double dropRate = harness.loadBalancer.endpoint(103).dropRate().value();
+        assertTrue(dropRate >= min && dropRate <= max, "drop rate " + dropRate);
         assertTrue(attempts > 0);
     }
 
@@ -68,7 +68,8 @@
     }
 
     /**
-     * A sidecar with little traffic grades a slow instance type down, with too few samples from any single endpoint.
+     * A sidecar with little traffic grades the endpoints of a slow instance type down, although it has too few samples
+     * from any single endpoint.
      */
     @Test
     void fewSamplesAreBlendedWithTheInstanceType() {
--- a/sidecar/src/test/java/trestlegrade/policy/EndpointSelectorTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/EndpointSelectorTest.java
@@ -18,7 +18,10 @@
 /** Selection of endpoints: shares by weight, subsets, zones and keys. */
 class EndpointSelectorTest {
 
-    /** Most endpoints fail one profile and commit the other: each profile goes to endpoints that commit it. */
+    /**
+     * If most endpoints fail one profile and commit the other, the first profile goes to the remaining endpoints, and
+     * the other profile still uses all of them.
+     */
     @Test
     void profileAvoidsEndpointsThatFailIt() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
@@ -29,10 +32,11 @@
             harness.loadBalancer.onTick(harness.now);
             harness.arrive(profile);
             SentAttempt attempt = harness.lastAttempt();
-            boolean bad = attempt.endpointId() >= 104;
-            attempts[profile][bad ? 1 : 0] += i < 300 ? 0 : 1;
+            boolean failing = attempt.endpointId() >= 104;
+            attempts[profile][failing ? 1 : 0] += i < 300 ? 0 : 1;
             harness.now += 50;
-            harness.endAttempt(attempt, bad && profile == 2 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
+            harness.endAttempt(
+                    attempt, failing && profile == 2 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
         }
         assertTrue(
                 attempts[2][1] < attempts[2][0] / 8,
@@ -62,7 +66,10 @@
         assertTrue(attempts[9] < 3 * attempts[0], attempts[0] + " to " + attempts[9]);
     }
 
-    /** Keyed selections follow the ring's arcs. With linear positions some endpoints had three times their share. */
+    /**
+     * An endpoint gets the keys on its arcs of the ring, so the total length of the arcs must be about equal for all
+     * endpoints. With linear positions some endpoints had three times their share.
+     */
     @Test
     void ringDistributesKeysEvenly() {
         SeededRandom random = new SeededRandom(1);
@@ -93,7 +100,7 @@
 
     /**
      * If connections have a cost, each sidecar uses a few endpoints of each zone, and each endpoint is used by about
-     * the same sidecar of sidecars.
+     * the same number of sidecars.
      */
     @Test
     void subsetTakesFewEndpointsOfEachZoneEvenlyOverTheFleet() {
@@ -114,7 +121,7 @@
         }
         Arrays.sort(sidecarsPerEndpoint);
         assertTrue(sidecarsPerEndpoint[9] - sidecarsPerEndpoint[0] <= 5, Arrays.toString(sidecarsPerEndpoint));
-        // An endpoint that leaves the subset is replaced.
+        // A draining endpoint of the subset is replaced.
         PolicyHarness harness = new PolicyHarness("fees.connection=0.03", "n_instances=125").fleet(State.READY, 0);
         harness.runTraffic(8_000, -1, null, 0);
         harness.update(harness.lastAttempt().endpointId(), State.DRAINING, 0);
--- a/sidecar/src/test/java/trestlegrade/policy/EndpointUpdatesTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/EndpointUpdatesTest.java
@@ -15,11 +15,11 @@
 import trestlegrade.policy.request.AttemptOutcome;
 import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
-/** Tests updates of the endpoint list: draining, departures, restarts, and the calls for the list. */
+/** Rule 3 (draining), and other updates of the endpoint list: removals, restarts, and the calls for the list. */
 class EndpointUpdatesTest {
 
     /**
-     * Endpoints join and leave continually. The state of an endpoint that has left is removed, and an endpoint that
+     * Endpoints are added and removed continually. The state of a removed endpoint is discarded, and an endpoint that
      * takes its place in the table does not inherit its failures or ejection.
      */
     @Test
@@ -50,8 +50,8 @@
     }
 
     /**
-     * If the local clock stepped back by an hour, the start of an endpoint lies in the future. Its slow start then
-     * begins now, once, and is not restarted by further updates with the same start time.
+     * If the local clock stepped back by an hour, the start of an endpoint lies in the future. The slow start of the
+     * endpoint then begins now, and further updates with the same start time do not restart it.
      */
     @Test
     void startInTheFutureCountsAsNow() {
@@ -59,14 +59,14 @@
         harness.update(100, State.READY, harness.now + 36_000_000);
         assertEquals(harness.now, harness.loadBalancer.endpoint(100).slowStart().warmUpStartedAt());
         // A repeated update with the same start time is not a restart.
-        long started = harness.now;
+        long startedAt = harness.now;
         harness.advance(50_000);
-        harness.update(100, State.READY, started + 36_000_000);
-        assertEquals(started, harness.loadBalancer.endpoint(100).slowStart().warmUpStartedAt());
+        harness.update(100, State.READY, startedAt + 36_000_000);
+        assertEquals(startedAt, harness.loadBalancer.endpoint(100).slowStart().warmUpStartedAt());
         assertEquals(0, harness.loadBalancer.endpoint(101).slowStart().warmUpStartedAt());
     }
 
-    /** From the notification on, a draining or gone endpoint gets no attempt, not even a retry. */
+    /** Rule 3: once the sidecar is notified, a draining or removed endpoint gets no attempt, not even a retry. */
     @ParameterizedTest
     @ValueSource(strings = {"draining", "gone", "missing"})
     void drainingOrGoneEndpointsGetNoNewAttempts(String change) {
@@ -125,16 +125,16 @@
 
     /**
      * Discovery serves calls one after the other, and each call times out after 2 s. A hundred sidecars whose calls
-     * fail together must not retry more often than it can serve: fewer than 25 calls a second once the backoff has
-     * grown.
+     * fail together must not retry more often than discovery can serve: fewer than 25 calls a second once the backoff
+     * has grown.
      */
     @Test
     void retriesOfManySidecarsStayBelowTheRateOfDiscovery() {
         int[] callsPerSecond = new int[30];
         for (int seed = 0; seed < 100; seed++) {
             PolicyHarness harness = new PolicyHarness(seed);
-            for (long failed = harness.now; failed - 1_000_000 < 300_000; failed = harness.now + 20_000) {
-                harness.advance(failed - harness.now);
+            for (long failsAt = harness.now; failsAt - 1_000_000 < 300_000; failsAt = harness.now + 20_000) {
+                harness.advance(failsAt - harness.now);
                 int before = harness.subscriptions;
                 harness.loadBalancer.onEndpointListFailed(harness.now);
                 while (harness.subscriptions == before) {
--- a/sidecar/src/test/java/trestlegrade/policy/FairShareTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/FairShareTest.java
@@ -7,7 +7,7 @@
 import trestlegrade.policy.endpoint.EndpointUpdate.State;
 import trestlegrade.policy.request.Transaction;
 
-/** Quotas of customers. */
+/** Tests the quotas of customers. */
 class FairShareTest {
 
     /**
--- a/sidecar/src/test/java/trestlegrade/policy/FinalResponseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/FinalResponseTest.java
@@ -15,7 +15,7 @@
 import trestlegrade.policy.request.AttemptOutcome;
 import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
-/** Each transaction gets exactly one final response, and its state is removed afterwards. */
+/** Rule 1: each transaction gets exactly one final response. The state of the transaction is removed afterwards. */
 class FinalResponseTest {
 
     /** Whatever the cause of a rejection, the transaction is removed once no attempt is in flight. */
@@ -102,7 +102,9 @@
         assertEquals(List.of(FinalResponse.rolledBack(id)), harness.finalResponses);
     }
 
-    /** In a burst on a fleet that is cold as a whole most transactions find no endpoint; each gets one response. */
+    /**
+     * In a burst on a fleet that is cold as a whole, most transactions find no endpoint; each gets one final response.
+     */
     @Test
     void eachTransactionOfABurstOnAColdFleetGetsOneResponse() {
         PolicyHarness harness = new PolicyHarness();
--- a/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
@@ -18,8 +18,8 @@
 class LoadShedderTest {
 
     /**
-     * A sidecar with little traffic: while a third of many endpoints are silent, the others serve. If all are silent,
-     * that counts as congestion.
+     * On a sidecar with little traffic, little is shed while a third of many endpoints are silent, because the others
+     * serve. The silence of all endpoints counts as congestion.
      */
     @ParameterizedTest
     @CsvSource({"0, 0, 0", "24, 0, 30", "72, 60, 300"})
@@ -45,10 +45,10 @@
                 }
             }
         }
-        long dropped = harness.finalResponses.stream()
-                .filter(answer -> answer.rejection() == Rejection.ROLLED_BACK)
+        long rolledBack = harness.finalResponses.stream()
+                .filter(response -> response.rejection() == Rejection.ROLLED_BACK)
                 .count();
-        assertTrue(dropped >= min && dropped <= max, dropped + " rolled back");
+        assertTrue(rolledBack >= min && rolledBack <= max, rolledBack + " rolled back");
     }
 
     /** Attempts stuck at one endpoint do not indicate that all endpoints are overloaded. */
@@ -87,13 +87,13 @@
     }
 
     /**
-     * During congestion the profile with the least revenue is shed first, unless the goal counts the worst-served one.
+     * During congestion the profile with the least revenue is shed first, unless the goal counts the worst profile.
      */
     @ParameterizedTest
     @CsvSource({"0, true", "1, false"})
-    void leastRevenueIsShedFirstUnlessTheWorstProfileCounts(double worstClassWeight, boolean leastRevenueFirst) {
+    void leastRevenueIsShedFirstUnlessTheWorstProfileCounts(double worstProfileWeight, boolean leastRevenueFirst) {
         PolicyHarness harness =
-                new PolicyHarness("goal.whole=1", "goal.worst_class=" + worstClassWeight).fleet(State.READY, 0);
+                new PolicyHarness("goal.whole=1", "goal.worst_class=" + worstProfileWeight).fleet(State.READY, 0);
         harness.runTraffic(30_000, -1, null, 0);
         int[] admitted = new int[3];
         for (int i = 0; i < 3_000; i++) {
--- a/sidecar/src/test/java/trestlegrade/policy/OutlierEjectionTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/OutlierEjectionTest.java
@@ -39,7 +39,7 @@
      * Probes of ejected endpoints use at most a small fraction of the transactions of a sidecar with little traffic.
      */
     @Test
-    @SuppressWarnings("ReferenceEquality") // Whether a further attempt was sent, not whether it is like the last.
+    @SuppressWarnings("ReferenceEquality") // Identity shows whether another attempt was sent.
     void probesAreASmallFractionOfFirstAttempts() {
         PolicyHarness harness = new PolicyHarness().fleet(State.READY, 0);
         for (int i = 0; i < 600; i++) {
--- a/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
+++ b/sidecar/src/test/java/trestlegrade/policy/PolicyHarness.java
@@ -112,17 +112,17 @@
     }
 
     /** Adds ten endpoints in two zones and five cells of two, all with the given state and start time. */
-    public PolicyHarness fleet(State state, long launched) {
+    public PolicyHarness fleet(State state, long launchedAt) {
         for (int i = 0; i < 10; i++) {
-            update(100 + i, state, launched);
+            update(100 + i, state, launchedAt);
         }
         return this;
     }
 
-    public void update(long id, State state, long launched) {
+    public void update(long id, State state, long launchedAt) {
         int cell = (int) (id - 100) / 2;
         loadBalancer.onEndpointUpdates(
-                now, List.of(new EndpointUpdate(id, (int) id % 2, 0, cell, state, 1, launched)), false, false);
+                now, List.of(new EndpointUpdate(id, (int) id % 2, 0, cell, state, 1, launchedAt)), false, false);
     }
 
     public long arrive(int profile) {
--- a/sidecar/src/test/java/trestlegrade/policy/RetryPolicyTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/RetryPolicyTest.java
@@ -63,8 +63,8 @@
     }
 
     /**
-     * A transaction that is idempotent by key and may have run is neither resent after its deduplication window nor
-     * rolled back.
+     * A transaction that is idempotent by key and may have been executed is neither resent after its deduplication
+     * window nor rolled back.
      */
     @Test
     void windowCountsFromTheFirstAttemptThatMayHaveRun() {
@@ -77,8 +77,8 @@
     }
 
     /**
-     * An attempt at an ejected endpoint is cancelled, and the retry follows only when it has ended, so that two are
-     * never in flight at once.
+     * An attempt at an ejected endpoint is cancelled, and the retry follows only when that attempt has ended, so that
+     * two attempts are never in flight at once.
      */
     @ParameterizedTest
     @CsvSource({"0, true, 2", "1, true, 2", "2, true, 1", "0, false, 1"})
@@ -101,7 +101,7 @@
 
     /**
      * A cheap first transaction must not dominate the estimates of a sidecar that has just started: a more expensive
-     * one is still retried.
+     * transaction is still retried.
      */
     @Test
     void cheapFirstTransactionDoesNotDominateEstimates() {
--- a/sidecar/src/test/java/trestlegrade/policy/SlowStartBudgetTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/SlowStartBudgetTest.java
@@ -13,8 +13,8 @@
 class SlowStartBudgetTest {
 
     /**
-     * A cold endpoint among warm ones, under a burst of ten times the usual traffic: within the span of the rule it
-     * never gets more than this sidecar's share of what the rule allows. The warm endpoints served 50 attempts/s each.
+     * A cold endpoint among warm ones, under a burst of ten times the usual traffic, never gets more than this
+     * sidecar's share of what the rule allows within its span. The warm endpoints served 50 attempts/s each.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -31,12 +31,12 @@
             }
             harness.advance(100);
         }
-        long cold = harness.sent.stream()
+        long attemptsAtCold = harness.sent.stream()
                 .skip(before)
                 .filter(s -> s.endpointId() == id)
                 .count();
         assertEquals(start + 10_000, harness.now);
-        assertTrue(cold >= 1 && cold <= 3 * 0.25 * 50, "sent " + cold);
+        assertTrue(attemptsAtCold >= 1 && attemptsAtCold <= 3 * 0.25 * 50, "sent " + attemptsAtCold);
     }
 
     @Test
--- a/sidecar/src/test/java/trestlegrade/policy/SlowStartFleetTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/SlowStartFleetTest.java
@@ -36,21 +36,21 @@
     /** For the distribution, more seeds can be run by hand: -Dcold.seeds=1000. */
     private static final int SEEDS = Integer.getInteger("cold.seeds", 2);
 
-    private record Event(long at, long order, Runnable action) {}
+    private record Event(long at, long sequenceNumber, Runnable action) {}
 
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::sequenceNumber));
     private final Map<Long, Deque<Long>> sentByEndpoint = new HashMap<>();
-    private final Map<Long, Long> launched = new HashMap<>();
+    private final Map<Long, Long> launchedAt = new HashMap<>();
     private double maxLoadRatio;
     private String worstCase = "";
     private long now = 1_000_000;
-    private long order;
+    private long nextSequenceNumber;
     private int cores;
     private Random random;
 
     private void schedule(double delay, Runnable action) {
-        events.add(new Event(now + Math.max(1, (long) delay), order++, action));
+        events.add(new Event(now + Math.max(1, (long) delay), nextSequenceNumber++, action));
     }
 
     private void runFor(long duration) {
@@ -63,12 +63,12 @@
         now = end;
     }
 
-    private double slowStartFraction(long endpoint) {
+    private double capacityFraction(long endpoint) {
         return Math.min(
                 1,
                 INITIAL_CAPACITY_FRACTION
                         + (1 - INITIAL_CAPACITY_FRACTION)
-                                * (now - launched.getOrDefault(endpoint, -WARM_UP_TICKS))
+                                * (now - launchedAt.getOrDefault(endpoint, -WARM_UP_TICKS))
                                 / WARM_UP_TICKS);
     }
 
@@ -78,7 +78,7 @@
         private final double rate;
         private LoadBalancer loadBalancer;
         private long nextTransactionId = 1;
-        private final Map<Long, Integer> attempts = new HashMap<>();
+        private final Map<Long, Integer> attemptCounts = new HashMap<>();
 
         Sidecar(int index, int sidecars, double rate) {
             this.index = index;
@@ -122,9 +122,9 @@
 
         @Override
         public void send(long transactionId, long endpoint, long timeoutTicks, long writeBefore) {
-            int attempt = attempts.merge(transactionId, 1, Integer::sum) - 1;
+            int attempt = attemptCounts.merge(transactionId, 1, Integer::sum) - 1;
             recordAttempt(endpoint);
-            double durationTicks = WORK_TICKS * (0.5 + random.nextDouble()) / slowStartFraction(endpoint);
+            double durationTicks = WORK_TICKS * (0.5 + random.nextDouble()) / capacityFraction(endpoint);
             LoadBalancer sender = loadBalancer;
             schedule(
                     durationTicks,
@@ -143,8 +143,8 @@
 
         @Override
         public void scheduleTick(long delayTicks) {
-            LoadBalancer scheduled = loadBalancer;
-            schedule((double) delayTicks, () -> scheduled.onTick(now));
+            LoadBalancer requester = loadBalancer;
+            schedule((double) delayTicks, () -> requester.onTick(now));
         }
 
         @Override
@@ -154,7 +154,7 @@
     private double trafficMultiple = 1;
 
     private void recordAttempt(long endpoint) {
-        if (!launched.containsKey(endpoint)) {
+        if (!launchedAt.containsKey(endpoint)) {
             return;
         }
         Deque<Long> recentAttempts = sentByEndpoint.computeIfAbsent(endpoint, s -> new ArrayDeque<>());
@@ -162,19 +162,20 @@
         while (recentAttempts.peekFirst() <= now - CRASH_TICKS) {
             recentAttempts.removeFirst();
         }
-        double allowed = CRASH_MULTIPLE * slowStartFraction(endpoint) * cores * CRASH_TICKS / WORK_TICKS;
+        double allowed = CRASH_MULTIPLE * capacityFraction(endpoint) * cores * CRASH_TICKS / WORK_TICKS;
         double loadRatio = recentAttempts.size() / (allowed + 2 * Math.sqrt(allowed) + 2);
         if (loadRatio > maxLoadRatio) {
             maxLoadRatio = loadRatio;
             worstCase = "%d attempts within the span in which %.1f are allowed, %d ms after the start"
-                    .formatted(recentAttempts.size(), allowed, (now - launched.get(endpoint)) / 10);
+                    .formatted(recentAttempts.size(), allowed, (now - launchedAt.get(endpoint)) / 10);
         }
     }
 
     /**
-     * {@code known}: whether the sidecars have used the warm endpoints before; otherwise they have just started as
-     * well. Traffic is uneven (the busiest sidecar has several times the mean), and it doubles when the cold endpoints
-     * join. {@code restarted}: the fraction of the sidecars that restart during the ramp-up, within half a second.
+     * {@code known}: whether the sidecars have used the warm endpoints before; otherwise the sidecars have just started
+     * as well. Traffic is uneven (the busiest sidecar has several times the mean), and it doubles when the cold
+     * endpoints join. {@code restarted}: the fraction of the sidecars that restart during the ramp-up, within half a
+     * second.
      */
     @ParameterizedTest
     @CsvSource({
@@ -231,7 +232,7 @@
     private void simulate(int seed, int sidecars, int warm, int cold, int cores, boolean known, double restarted) {
         events.clear();
         sentByEndpoint.clear();
-        launched.clear();
+        launchedAt.clear();
         maxLoadRatio = 0;
         trafficMultiple = 1;
         this.cores = cores;
@@ -256,7 +257,7 @@
             runFor(12 * SECOND);
         }
         for (int i = 0; i < cold; i++) {
-            launched.put(10_000L + i, now);
+            launchedAt.put(10_000L + i, now);
             updates.add(new EndpointUpdate(10_000 + i, 0, 0, 0, State.READY, 1, now));
         }
         trafficMultiple = 2;
--- a/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
+++ b/sidecar/src/test/java/trestlegrade/policy/TracedFleet.java
@@ -163,7 +163,7 @@
             });
         }
 
-        /** Restarts the endpoint cold; one restart in three, at random, gives it another id. */
+        /** Restarts the endpoint cold; one restart in three, at random, gives the endpoint another id. */
         void restart() {
             startedAt = now;
             state = EndpointUpdate.State.READY;
@@ -231,7 +231,7 @@
 
     private record Sent(long transaction, int attempt, Endpoint endpoint, LoadBalancer sender) {}
 
-    /** One sidecar: its load balancer, and the actions that this requests. */
+    /** One sidecar: its load balancer, and the actions that the load balancer requests. */
     private final class Sidecar implements PolicyActions {
         private final int number;
         private final EndpointListLease lease = new EndpointListLease(now, DRAIN_GRACE);
--- a/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/lease/EndpointListLeaseTest.java
@@ -15,12 +15,12 @@
 import trestlegrade.policy.request.RejectionReason;
 import trestlegrade.policy.settings.PolicySettings.DeduplicationScope;
 
-/** Tests when the endpoint list lease expires and what is sent under it. Times are ticks of 0.1 ms. */
+/** Tests when the lease of the endpoint list expires, and what is sent under that lease. Times are ticks of 0.1 ms. */
 class EndpointListLeaseTest {
 
     /**
-     * Checks when a lease that was confirmed at 100,000 expires after an event at 130,000. The expiry leaves a margin
-     * within the grace for a stalled process.
+     * Checks when a lease that was confirmed at 100,000 expires after an event at 130,000. Unless the grace is 0, a
+     * process that is held up for 0.15 s at the expiry time is still within the grace.
      */
     @ParameterizedTest
     @CsvSource({
@@ -111,7 +111,7 @@
 
     /**
      * An endpoint that has served no request for the whole notification delay may have begun to drain right after its
-     * last one, so it receives no further attempt.
+     * last request, so it receives no further attempt.
      */
     @Test
     void requestServedLongAgoDoesNotExtendTheLease() {
--- a/sidecar/src/test/java/trestlegrade/policy/retry/DiscoveryBackoffTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/retry/DiscoveryBackoffTest.java
@@ -13,10 +13,10 @@
 import trestlegrade.config.PolicySettingsReader;
 
 /**
- * Guards against a retry storm at discovery. The simulated discovery serves calls one after the other, 55 ms each, and
- * refuses calls that have waited for 2 s, which still take their turn. Sidecars that start together, are refused
- * together and soon call again together are refused again, so that without a spread over the fleet size many of them
- * have no list for a long time.
+ * Guards against a retry storm at discovery. The simulated discovery serves calls one after the other, 55 ms each.
+ * Calls time out after 2 s, and discovery spends the 55 ms on these calls too. If sidecars start together, time out
+ * together and soon call again together, they time out again. Without a spread over the fleet size, many of them would
+ * therefore have no list for a long time.
  */
 class DiscoveryBackoffTest {
     private static final long CALL_TICKS = 550;
@@ -71,8 +71,8 @@
     }
 
     /**
-     * {@code inTime}: how many of the sidecars that started or lost their watches together have the list after 6 s, in
-     * the mean of the seeds. {@code maxTime}: the maximum time until all of them have it, for every seed.
+     * {@code inTime}: how many of the sidecars that started or lost their watches together have the list after 6 s, on
+     * average over the seeds. {@code maxTime}: the maximum time until all of them have the list, for every seed.
      */
     @ParameterizedTest
     @CsvSource({"76, false, 73, 75000", "76, true, 60, 90000", "30, true, 30, 20000", "6, true, 6, 20000"})
@@ -89,7 +89,7 @@
         assertTrue(servedInTime >= inTime * ((long) SEEDS), servedInTime / (double) SEEDS + " after 6 s");
     }
 
-    /** The size of the fleet must not delay a single process for longer than the lease of its first list. */
+    /** The size of the fleet must not delay a single sidecar for longer than the lease of its first list. */
     @Test
     void singleSidecarWaitsForLessThanTheLeaseOfItsFirstList() {
         for (int seed = 0; seed < SEEDS; seed++) {
