--- a/lab/src/main/java/trestlegrade/lab/cost/LoadClient.java
+++ b/lab/src/main/java/trestlegrade/lab/cost/LoadClient.java
@@ -58,7 +58,9 @@
             if (!response.startsWith("HTTP/1.1 200")) {
                 notCommitted.incrementAndGet();
             }
-            if (keep && !response.isEmpty() && !response.toLowerCase(Locale.ROOT).contains("connection: close")) {
+            if (keep
+                    && !response.isEmpty()
+                    && !response.toLowerCase(Locale.ROOT).contains("connection: close")) {
                 idle.addLast(socket);
             } else {
                 socket.close();
--- a/lab/src/main/java/trestlegrade/lab/soak/FaultInjector.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/FaultInjector.java
@@ -11,6 +11,7 @@
     private static final int MAX_SHUTDOWN_MILLISECONDS = SoakSettings.MAX_DEADLINE + 700;
     /** While a proxy resets connections, every ninth chunk that a sidecar sends causes a reset. */
     private static final int RESET_INTERVAL_CHUNKS = 9;
+
     private static final int DELAY_MILLISECONDS = 200;
     /** Responses of a process may be missing or late for this long after it was held up or killed. */
     private static final long EXEMPT_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
@@ -23,10 +24,7 @@
     private final List<AtomicBoolean> restarting;
 
     FaultInjector(
-            EventRecorder recorder,
-            FakeDiscovery discovery,
-            List<FakeServer> servers,
-            List<SidecarProcess> sidecars) {
+            EventRecorder recorder, FakeDiscovery discovery, List<FakeServer> servers, List<SidecarProcess> sidecars) {
         this.recorder = recorder;
         this.discovery = discovery;
         this.servers = List.copyOf(servers);
--- a/lab/src/main/java/trestlegrade/lab/soak/SoakSettings.java
+++ b/lab/src/main/java/trestlegrade/lab/soak/SoakSettings.java
@@ -30,7 +30,11 @@
                 .put("listen", "127.0.0.1:" + port)
                 .put("discovery", "127.0.0.1:" + discoveryPort)
                 .put("seed", Long.toHexString(seed));
-        configuration.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", MAX_SOCKETS);
+        configuration
+                .putObject("limits")
+                .put("cores", 1.0)
+                .put("memory_mb", 192)
+                .put("sockets", MAX_SOCKETS);
         addSettings(configuration.putObject("settings"), sidecars, readHardLimit);
         configuration.set("known", endpointList);
         return configuration;
--- a/sidecar/src/main/java/trestlegrade/policy/endpoint/CallStatistics.java
+++ b/sidecar/src/main/java/trestlegrade/policy/endpoint/CallStatistics.java
@@ -6,8 +6,8 @@
 import trestlegrade.policy.request.AttemptOutcome;
 
 /**
- * The call tracker of one endpoint: the calls, failures and latencies of this sidecar's attempts at it. Slowness
- * is the ratio of an attempt's latency to its expected latency. Times are ticks of 0.1 ms.
+ * The call tracker of one endpoint: the calls, failures and latencies of this sidecar's attempts at it. Slowness is the
+ * ratio of an attempt's latency to its expected latency. Times are ticks of 0.1 ms.
  */
 public final class CallStatistics {
     /** The maximum span over which sums are available. */
--- a/sidecar/src/main/java/trestlegrade/policy/health/SilenceDetector.java
+++ b/sidecar/src/main/java/trestlegrade/policy/health/SilenceDetector.java
@@ -16,8 +16,8 @@
  */
 public final class SilenceDetector implements InFlightSummary {
     /**
-     * Above this the endpoint is suspect, and a non-idempotent transaction is sent to it only if no healthy
-     * endpoint is found. A healthy endpoint exceeds it in one of twenty ticks.
+     * Above this the endpoint is suspect, and a non-idempotent transaction is sent to it only if no healthy endpoint is
+     * found. A healthy endpoint exceeds it in one of twenty ticks.
      */
     private static final double SUSPECT_THRESHOLD = 3;
     /** Above this the endpoint is ejected. A healthy endpoint exceeds it in about one of eight thousand ticks. */
--- a/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ClientConnectionsIT.java
@@ -45,7 +45,9 @@
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(client());
-            assertTrue(clients.get(i).exchange(transaction("quote", "t" + i, 30_000)).endsWith("t" + i));
+            assertTrue(clients.get(i)
+                    .exchange(transaction("quote", "t" + i, 30_000))
+                    .endsWith("t" + i));
         }
         signal("STOP");
         eventually(this::allThreadsStopped);
--- a/sidecar/src/test/java/trestlegrade/integration/ConfigErrorsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ConfigErrorsIT.java
@@ -80,7 +80,8 @@
     void addressInUseEndsTheProgram() throws Exception {
         endpoint(r -> HANG);
         JsonObject file = configuration();
-        assertExitsNaming(file.put("listen", "127.0.0.1:" + endpoints.get(0).port()).encode(), "listen-failed");
+        assertExitsNaming(
+                file.put("listen", "127.0.0.1:" + endpoints.get(0).port()).encode(), "listen-failed");
     }
 
     private void assertExitsNaming(String file, String named) throws Exception {
--- a/sidecar/src/test/java/trestlegrade/integration/ConnectionReuseIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ConnectionReuseIT.java
@@ -55,7 +55,8 @@
         TestClient client = client();
         int committed = 0;
         for (int i = 0; i < 10; i++) {
-            committed += client.exchange(transaction("post-charge", "t" + i, 900)).startsWith("HTTP/1.1 200 ") ? 1 : 0;
+            committed +=
+                    client.exchange(transaction("post-charge", "t" + i, 900)).startsWith("HTTP/1.1 200 ") ? 1 : 0;
             pause(200);
         }
         // A busy machine may notice the first failure too late to learn from it. Without learning, every other
--- a/sidecar/src/test/java/trestlegrade/integration/DescriptorLimitIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/DescriptorLimitIT.java
@@ -94,7 +94,9 @@
         pause(100);
         // The policy rolls back early for a while after so many attempts without a response.
         TestClient after = client();
-        within(5_000, () -> after.exchangeUnchecked(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
+        within(
+                5_000,
+                () -> after.exchangeUnchecked(transaction("quote", "u", 500)).startsWith("HTTP/1.1 200 "));
     }
 
     /**
--- a/sidecar/src/test/java/trestlegrade/integration/EndpointChangesIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/EndpointChangesIT.java
@@ -61,7 +61,8 @@
         }
         eventually(() -> discovery.requests.size() == 1);
         assertEquals(0, first.closedConnections.size());
-        discovery.writeLine(listLine(8, false, entry(0, "active").put("name", "s-new").put("since_ms", 1)));
+        discovery.writeLine(
+                listLine(8, false, entry(0, "active").put("name", "s-new").put("since_ms", 1)));
         eventually(() -> first.closedConnections.size() == first.connectionCount.get());
         int before = first.requests.size();
         for (int i = 0; i < 50; i++) {
--- a/sidecar/src/test/java/trestlegrade/integration/PolicySettingsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/PolicySettingsIT.java
@@ -47,7 +47,8 @@
                         + "Content-Length: 0\r\n\r\n");
                 assertEquals("200", got.substring(9, 12), name + " " + inField);
                 String attempt = endpoint.requests.get(endpoint.requests.size() - 1);
-                double remainingMillis = Double.parseDouble(header(attempt, "X-Expires-In").replace("u", "")) / 1_000;
+                double remainingMillis =
+                        Double.parseDouble(header(attempt, "X-Expires-In").replace("u", "")) / 1_000;
                 double deadlineMillis = 1_000 * Math.pow(3, names.indexOf(name));
                 assertTrue(
                         remainingMillis > deadlineMillis / 2 && remainingMillis <= deadlineMillis,
--- a/sidecar/src/test/java/trestlegrade/integration/RetryIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/RetryIT.java
@@ -62,7 +62,10 @@
         assertEquals(status, statusAfterFault);
         assertEquals(
                 faulty.requests.size(),
-                faulty.requests.stream().map(s -> header(s, "X-Trace-Id")).distinct().count());
+                faulty.requests.stream()
+                        .map(s -> header(s, "X-Trace-Id"))
+                        .distinct()
+                        .count());
     }
 
     /**
--- a/sidecar/src/test/java/trestlegrade/integration/ScaleIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/ScaleIT.java
@@ -42,7 +42,8 @@
 
     /** All endpoints on one thread, each at its own loopback address. They expect requests without bodies. */
     private static final class Fleet implements AutoCloseable, Runnable {
-        private static final byte[] RESPONSE = HttpText.response(200, "", "good").getBytes(StandardCharsets.ISO_8859_1);
+        private static final byte[] RESPONSE =
+                HttpText.response(200, "", "good").getBytes(StandardCharsets.ISO_8859_1);
 
         private final Selector selector = Selector.open();
         private final List<ServerSocketChannel> listeners = new ArrayList<>();
--- a/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SettingsReloadIT.java
@@ -84,7 +84,8 @@
         }
         // Keeps transactions open until the settings have changed, even on a slow machine.
         settings().getJsonArray("profiles").getJsonObject(1).put("hard_limit", 40_000);
-        initialEndpoints = new JsonArray().add(entry(0, "active")).add(entry(1, "active").put("zone", "b"));
+        initialEndpoints =
+                new JsonArray().add(entry(0, "active")).add(entry(1, "active").put("zone", "b"));
         startAndAwaitHealthy();
         eventually(() -> discovery.requests.size() == 1);
     }
@@ -115,8 +116,8 @@
             Thread thread = new Thread(() -> {
                 for (int n = 0; n < TRANSACTIONS_PER_CLIENT; n++) {
                     String trace = "t" + nextTrace.getAndIncrement();
-                    String got = client.exchangeUnchecked(
-                            transaction(n % 2 == 0 ? "quote" : "post-charge", trace, 900));
+                    String got =
+                            client.exchangeUnchecked(transaction(n % 2 == 0 ? "quote" : "post-charge", trace, 900));
                     // If the machine stalls, transactions may be rolled back, but none may be lost, get the response
                     // of another transaction or have an unknown outcome.
                     if (!got.endsWith(trace) && !got.startsWith("HTTP/1.1 503 ")) {
@@ -140,8 +141,8 @@
         int before = endpoints.get(0).requests.size();
         TestClient client = client();
         for (int n = 0; n < 20; n++) {
-            assertTrue(
-                    client.exchange(transaction("quote", "z" + round + "-" + n, 900)).startsWith("HTTP/1.1 200 "));
+            assertTrue(client.exchange(transaction("quote", "z" + round + "-" + n, 900))
+                    .startsWith("HTTP/1.1 200 "));
         }
         int zoneACount = endpoints.get(0).requests.size() - before;
         assertTrue(
--- a/sidecar/src/test/java/trestlegrade/integration/StaleEndpointListIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/StaleEndpointListIT.java
@@ -24,9 +24,9 @@
  * In a fleet of 100, restarted processes sent requests to endpoints 1.05 s and more after the draining of these
  * endpoints counted as notified. Discovery was overloaded by callers: it accepted each call of these processes and
  * rejected it after 2 s, three times in 8 s. The cause was that nothing ended the right to send to the endpoints of a
- * list that had not been confirmed for a long time; a longer or shorter backoff only changed the odds. Proof: in
- * the replay the watch lines of the log contained rejections only and no line of a list arrived, and with a discovery
- * that rejects every call, like the stub below, the process kept sending forever.
+ * list that had not been confirmed for a long time; a longer or shorter backoff only changed the odds. Proof: in the
+ * replay the watch lines of the log contained rejections only and no line of a list arrived, and with a discovery that
+ * rejects every call, like the stub below, the process kept sending forever.
  */
 class StaleEndpointListIT extends SidecarFixture {
     /** A change counts as notified this long after discovery had it, regardless of failures. */
@@ -40,6 +40,7 @@
 
     /** How long rejected requests took, in milliseconds. */
     private final List<Long> rejectionMillis = new CopyOnWriteArrayList<>();
+
     private volatile boolean sending = true;
     /** Whether the first endpoint drains: it rejects new requests. */
     private volatile boolean firstDrains;
--- a/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
+++ b/sidecar/src/test/java/trestlegrade/integration/SystemCallsIT.java
@@ -78,7 +78,8 @@
         shim.fail(errnoField, rate, errno, SystemCallShim.ALL_CALLS);
         for (String profile : List.of("quote", "post-charge")) {
             Stopwatch watch = new Stopwatch();
-            assertTrue(client.exchange(transaction(profile, profile + errno, 1_400)).startsWith("HTTP/1.1 503 "));
+            assertTrue(client.exchange(transaction(profile, profile + errno, 1_400))
+                    .startsWith("HTTP/1.1 503 "));
             assertTrue(watch.milliseconds() < 700, "rejected after " + watch.milliseconds() + " ms");
         }
         assertTrue(shim.get(done) > 0);
@@ -113,7 +114,9 @@
         }
         assertEquals(
                 10,
-                endpoint.requests.stream().filter(r -> r.contains("X-Trace-Id: t")).count());
+                endpoint.requests.stream()
+                        .filter(r -> r.contains("X-Trace-Id: t"))
+                        .count());
         assertTrue(shim.get(Field.INTERRUPT_DONE) > 100 && shim.get(Field.SHORT_DONE) > 1_000);
     }
 
@@ -141,9 +144,8 @@
                         .filter(r -> "t".equals(header(r, "X-Trace-Id")))
                         .count());
         TestClient next = client();
-        eventually(() ->
-                next.exchangeUnchecked(transaction("quote", "u" + System.nanoTime(), 1_400))
-                        .startsWith("HTTP/1.1 200 "));
+        eventually(() -> next.exchangeUnchecked(transaction("quote", "u" + System.nanoTime(), 1_400))
+                .startsWith("HTTP/1.1 200 "));
         eventually(() -> counters().getJsonObject("now").getLong("transactions") == 0);
     }
 
--- a/sidecar/src/test/java/trestlegrade/policy/EndpointSelectorTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/EndpointSelectorTest.java
@@ -35,8 +35,7 @@
             boolean failing = attempt.endpointId() >= 104;
             attempts[profile][failing ? 1 : 0] += i < 300 ? 0 : 1;
             harness.now += 50;
-            harness.endAttempt(
-                    attempt, failing && profile == 2 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
+            harness.endAttempt(attempt, failing && profile == 2 ? AttemptOutcome.ERROR : AttemptOutcome.COMMITTED, 200);
         }
         assertTrue(
                 attempts[2][1] < attempts[2][0] / 8,
--- a/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
+++ b/sidecar/src/test/java/trestlegrade/policy/LoadShedderTest.java
@@ -86,9 +86,7 @@
         assertEquals(before, harness.finalResponses.size());
     }
 
-    /**
-     * During congestion the profile with the least revenue is shed first, unless the goal counts the worst profile.
-     */
+    /** During congestion the profile with the least revenue is shed first, unless the goal counts the worst profile. */
     @ParameterizedTest
     @CsvSource({"0, true", "1, false"})
     void leastRevenueIsShedFirstUnlessTheWorstProfileCounts(double worstProfileWeight, boolean leastRevenueFirst) {
