--- a/sidecar/src/main/java/trestlegrade/Main.java
+++ b/sidecar/src/main/java/trestlegrade/Main.java
@@ -67,7 +67,10 @@
         return CommandLine.ExitCode.SOFTWARE;
     }
 
-    /** Runs one sidecar. SIGTERM exits the process from within, so this returns only if the sidecar could not start. */
+    /**
+     * Runs one sidecar. The handler of SIGTERM exits the process, so this method returns only if the sidecar could not
+     * start.
+     */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
@@ -99,7 +102,7 @@
 
     private static int checkStartup(String command) {
         // The build records the class data archive while it runs this command, and the archive holds only the classes
-        // that the command uses. The handler is installed here so that its classes are among them.
+        // that the command uses. The signal handler is installed here so that its classes are among them.
         ReloadSignal.install();
         try {
             System.out.println(command + ": ready after " + StartupCheck.run() + " transactions");
@@ -113,8 +116,8 @@
     /** Runs the command that the arguments name and exits with its status. */
     public static void main(String[] args) {
         // This command bypasses picocli. The class data archive cannot hold picocli, because its class files have an
-        // old format. Loading it costs as much as the rest of the start, and after a release many sidecars start at
-        // once.
+        // old format. Loading picocli costs as much as the rest of the start, and after a release many sidecars start
+        // at once.
         if (args.length == 1 && args[0].equals("serve")) {
             System.exit(serve(ReloadSignal.install()));
         }
--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryClient.java
@@ -19,12 +19,13 @@
  * Watches discovery for changes of the endpoint list over HTTP, and renews the lease of the list. Not thread-safe: it
  * is confined to the event loop.
  *
- * <p>One watch is in use at a time. If it is silent, a replacement is opened in parallel. The silent watch stays open
- * until the replacement receives data, because it may only be late. When the last watch ends, the failure callback
- * decides when {@link #watch} is called again; where the list is pushed, this class reopens the watch itself.
+ * <p>One watch is in use at a time. If it is {@linkplain WatchLiveness.State#SUSPECT suspect}, a replacement is opened
+ * in parallel. The suspect watch stays open until the replacement receives data or the watch counts as silent, because
+ * it may only be late. When the last watch ends, the failure callback decides when {@link #watch} is called again;
+ * where the list is pushed, this class reopens the watch itself.
  */
 public final class DiscoveryClient implements EndpointListSource {
-    private static final long SILENCE_CHECK_INTERVAL_MILLIS = 100;
+    private static final long CHECK_INTERVAL_MILLIS = 100;
     /** An agent responds within a few milliseconds, and no request is served until then. */
     private static final long AGENT_RESPONSE_TIMEOUT_MILLIS = 2_000;
 
@@ -79,7 +80,7 @@
         Vertx vertx = loop.vertx();
         client = vertx.createHttpClient(new HttpClientOptions().setPipelining(false));
         // After an event loop stall, a watch is checked for silence only once the data that arrived has been read.
-        vertx.setPeriodic(SILENCE_CHECK_INTERVAL_MILLIS, timer -> loop.lag().runWhenCaughtUp(this::checkHealth));
+        vertx.setPeriodic(CHECK_INTERVAL_MILLIS, timer -> loop.lag().runWhenCaughtUp(this::checkLeaseAndWatch));
     }
 
     @Override
@@ -109,7 +110,7 @@
         }
         DiscoveryWatch oldCurrent = current;
         DiscoveryWatch oldReplacement = replacement;
-        // Cleared first, because the end of the current watch would open another one.
+        // The fields are cleared first, because the end of the current watch would open another one.
         current = null;
         replacement = null;
         Stream.of(oldCurrent, oldReplacement)
@@ -156,7 +157,7 @@
     }
 
     /** Periodically checks for an expired lease, for an old list and for a silent watch. */
-    private void checkHealth() {
+    private void checkLeaseAndWatch() {
         logLeaseChange();
         warnIfListIsOld();
         if (current == null) {
@@ -217,7 +218,7 @@
         public void connected() {
             if (schedule.pushed()) {
                 // An agent sends all that it knows immediately. While it is cut off from discovery, it is silent and
-                // learns of no changes.
+                // learns of no changes. Therefore the connection alone confirms the list.
                 confirmed();
             }
         }
@@ -225,10 +226,10 @@
         @Override
         public void bytesReceived(DiscoveryWatch watch) {
             if (replacement == watch) {
-                DiscoveryWatch suspect = current;
+                DiscoveryWatch suspectWatch = current;
                 current = watch;
                 replacement = null;
-                suspect.end(DiscoveryWatch.EndReason.SILENT, "replacement watch received data");
+                suspectWatch.end(DiscoveryWatch.EndReason.SILENT, "replacement watch received data");
             }
         }
 
--- a/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/DiscoveryWatch.java
@@ -28,7 +28,7 @@
     private final Owner owner;
     private final WatchLiveness liveness;
     private long openedAt;
-    private int messages;
+    private int messageCount;
     private HttpClientConnection connection;
     private boolean ended;
 
@@ -72,13 +72,13 @@
     }
 
     DiscoveryWatch(
-            MonotonicClock clock, Counters counters, SocketAddress address, long suspicionJitterTicks, Owner owner) {
+            MonotonicClock clock, Counters counters, SocketAddress address, long replacementJitterTicks, Owner owner) {
         this.clock = clock;
         this.counters = counters;
         this.address = address;
         this.owner = owner;
         openedAt = clock.now();
-        liveness = new WatchLiveness(openedAt, suspicionJitterTicks);
+        liveness = new WatchLiveness(openedAt, replacementJitterTicks);
     }
 
     /** Connects and requests changes. Does nothing if the watch was ended while it waited to be opened. */
@@ -103,7 +103,7 @@
 
     /** Returns whether any message was received. */
     boolean hasReceivedMessages() {
-        return messages > 0;
+        return messageCount > 0;
     }
 
     WatchLiveness.State state(long now) {
@@ -120,7 +120,7 @@
             return;
         }
         ended = true;
-        counters.connectionEnded("watch", reason.code, address.toString(), messages, clock.now() - openedAt);
+        counters.connectionEnded("watch", reason.code, address.toString(), messageCount, clock.now() - openedAt);
         long version = owner.version();
         long quietMillis = quietMillis(clock.now());
         counters.log.add(() ->
@@ -157,7 +157,7 @@
         }
         owner.connected();
         RequestOptions request = new RequestOptions().setMethod(HttpMethod.GET).setURI(WATCH_PATH + owner.version());
-        connection.request(request).compose(each -> each.send()).onComplete(response -> {
+        connection.request(request).compose(opened -> opened.send()).onComplete(response -> {
             if (response.failed()) {
                 end(EndReason.CLOSED, response.cause());
             } else if (response.result().statusCode() != STATUS_OK) {
@@ -200,7 +200,7 @@
         if (ended) {
             return;
         }
-        messages++;
+        messageCount++;
         counters.listLines++;
         EndpointListMessage message = EndpointListMessage.of(json);
         owner.messageReceived(message);
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointEntry.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointEntry.java
@@ -89,7 +89,7 @@
         return json.getValue("address") instanceof String address ? Optional.of(address) : Optional.empty();
     }
 
-    /** Returns the state if the field is a string. An entry without it says nothing of its endpoint's state. */
+    /** Returns the state if the field is a string. An entry without a state says nothing about its endpoint's state. */
     Optional<EndpointUpdate.State> validState() {
         return json.getValue("status") instanceof String ? Optional.of(state()) : Optional.empty();
     }
--- a/sidecar/src/main/java/trestlegrade/discovery/EndpointRegistry.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/EndpointRegistry.java
@@ -50,7 +50,10 @@
         }
     }
 
-    /** Is notified of endpoints that left, drain, moved or restarted, to which open connections are of no more use. */
+    /**
+     * Is notified of endpoints that were removed from the list, drain, moved or restarted. Open connections to them are
+     * no longer useful.
+     */
     public interface Listener {
         /** Called on the event loop, while the list is applied. */
         void endpointOutdated(Endpoint endpoint);
@@ -64,7 +67,7 @@
         this.counters = counters;
     }
 
-    /** Returns all endpoints that have not left, as last listed. */
+    /** Returns all registered endpoints, as last listed. */
     public List<EndpointUpdate> all() {
         List<EndpointUpdate> updates = new ArrayList<>(byId.size());
         for (var each : byId) {
@@ -97,7 +100,7 @@
      * Applies entries of the list and returns the updates for the load balancer. Malformed entries are counted, logged
      * and applied as far as they are usable.
      *
-     * @param snapshot whether the entries are all endpoints, so that endpoints without an entry have left
+     * @param snapshot whether the entries are all endpoints, so that endpoints without an entry are removed
      */
     public List<EndpointUpdate> applyList(JsonArray entries, boolean snapshot) {
         listNumber++;
@@ -142,7 +145,7 @@
         endpoint.launchedTicks = launchedTicks;
         endpoint.listNumber = listNumber;
         setState(endpoint, state);
-        if (endpoint.active && !evictFromAddress(endpoint, updates)) {
+        if (endpoint.active && !removeOtherAtSameAddress(endpoint, updates)) {
             updates.add(gone(id));
             remove(endpoint);
             return;
@@ -170,11 +173,11 @@
     }
 
     /**
-     * Removes another active endpoint that has the same address. Returns false, and keeps the other one, if the other
-     * one started later. Two endpoints cannot listen at one address, so the one that started last does, whatever the
-     * list says about the other.
+     * Removes another active endpoint that has the same address. If the other endpoint started later, keeps it and
+     * returns false. Two endpoints cannot listen at one address, so only the one that started last can be there,
+     * whatever the list says about the other.
      */
-    private boolean evictFromAddress(Endpoint endpoint, List<EndpointUpdate> updates) {
+    private boolean removeOtherAtSameAddress(Endpoint endpoint, List<EndpointUpdate> updates) {
         for (var each : byId.values()) {
             Endpoint other = each.value;
             if (other != endpoint && other.active && other.address.equals(endpoint.address)) {
@@ -199,7 +202,7 @@
 
     /**
      * Applies a malformed entry as far as it is usable. If it identifies an endpoint by name, or else by address, it
-     * still says that the endpoint drains or has left, or else that the endpoint is still there as last listed.
+     * still says that the endpoint drains or is removed. Otherwise the endpoint stays as last listed.
      */
     private void applyMalformed(EndpointEntry entry, List<EndpointUpdate> updates) {
         Endpoint known = identify(entry);
@@ -265,14 +268,14 @@
 
     private void logApplied(int entries, boolean snapshot) {
         int known = byId.size();
-        int stopped = deactivated.size();
-        List<String> names = List.copyOf(deactivated.subList(0, Math.min(MAX_LOGGED_NAMES, stopped)));
+        int deactivatedCount = deactivated.size();
+        List<String> names = List.copyOf(deactivated.subList(0, Math.min(MAX_LOGGED_NAMES, deactivatedCount)));
         counters.log.add(() -> Logger.info(
                 "list code=applied whole={} entries={} known={} stopped={} names={}",
                 snapshot,
                 entries,
                 known,
-                stopped,
+                deactivatedCount,
                 names));
     }
 
--- a/sidecar/src/main/java/trestlegrade/discovery/ListAgeWarning.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/ListAgeWarning.java
@@ -2,8 +2,8 @@
 
 /**
  * Decides when to warn that discovery has not confirmed the endpoint list. The lease of the list does not show this,
- * because it is renewed while connections to discovery's address are refused. That is also the case after discovery has
- * moved to an address that this sidecar was not notified of.
+ * because it is renewed while connections to discovery's address are refused. Connections are also refused after
+ * discovery has moved to an address that this sidecar was not notified of.
  */
 final class ListAgeWarning {
     /** Discovery confirms the list every 2 s, and takes some seconds to restart. */
--- a/sidecar/src/main/java/trestlegrade/discovery/WatchLiveness.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/WatchLiveness.java
@@ -4,7 +4,8 @@
  * Detects a silent watch by the time since it last received data. Times are ticks (tenths of a millisecond).
  *
  * <p>Discovery writes an empty line every 2 s while nothing changes. A watch whose connection is dead, as in a network
- * partition, delivers nothing and does not end. Changes that it misses count as notified 6 s after its last message.
+ * partition, delivers nothing and does not end. From 6 s after the last message of such a watch, the sidecar counts as
+ * notified of the changes that the watch missed.
  */
 final class WatchLiveness {
     /** Two empty lines are missing. */
--- a/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
+++ b/sidecar/src/main/java/trestlegrade/discovery/WatchSchedule.java
@@ -9,11 +9,12 @@
  *
  * <p>Where lists are polled, the load balancer delays the next watch after a failure, and this schedule adds the delays
  * that the load balancer does not cover. Where lists are pushed, an agent on the same host serves this sidecar alone. A
- * watch on it is reopened immediately, because a change that the agent knows counts as notified even without a watch.
+ * watch on it is reopened immediately, because the sidecar counts as notified of each change that the agent knows, even
+ * without a watch.
  */
 final class WatchSchedule {
     /**
-     * Minimum time between two watches that deliver a message and end at once. They do not count as failures, so no
+     * Minimum time between two watches that deliver a message and end immediately. They do not count as failures, so no
      * backoff limits their rate.
      */
     private static final long MIN_INTERVAL_TICKS = 10_000;
@@ -22,7 +23,7 @@
 
     private static final int AGENT_CONNECT_TIMEOUT_MILLIS = 100;
     private static final long AGENT_INITIAL_DELAY_TICKS = 100;
-    /** Well below the drain grace of any endpoint. */
+    /** The maximum delay of a watch on an agent, which is well below the drain grace of any endpoint. */
     private static final long AGENT_MAX_DELAY_TICKS = 1_000;
 
     private final MonotonicClock clock;
@@ -68,7 +69,7 @@
         return now >= replaceNotBefore;
     }
 
-    /** Returns this sidecar's random delay before it replaces a silent watch, which spreads the calls of a fleet. */
+    /** Returns this sidecar's random delay before it replaces a suspect watch, which spreads the calls of a fleet. */
     long replacementJitterTicks() {
         return backoff.delayBeforeReplacement();
     }
--- a/sidecar/src/main/java/trestlegrade/eventloop/EventLoopLag.java
+++ b/sidecar/src/main/java/trestlegrade/eventloop/EventLoopLag.java
@@ -15,8 +15,9 @@
 
     private static final long INTERVAL_TICKS = INTERVAL_MILLIS * MonotonicClock.TICKS_PER_MILLI;
     /**
-     * A lag above this is a stall. It is shorter than any time limit of the rules, including its slack. It is not half
-     * as long, because an event loop that has only a fraction of a core often lags by more than that.
+     * A lag above this is a stall. The threshold is shorter than any time limit of the rules, including the slack of
+     * that limit. A threshold half as long would be too short, because an event loop that has only a fraction of a core
+     * often lags by more than that.
      */
     private static final long STALL_TICKS = 50 * MonotonicClock.TICKS_PER_MILLI;
     /** The worst lag is halved each time that this period has passed. */
@@ -81,24 +82,26 @@
     }
 
     /**
-     * Counts a stall until two consecutive timers have run, because the event loop reads its sockets between them.
+     * Keeps a stall in effect until two consecutive timers have run, because the event loop reads its sockets between
+     * them.
      *
      * <p>The first timer after a stall may run before any socket is read, because the operating system interrupts the
-     * selector when a stopped process resumes. The time from there until the event loop reads its sockets has no bound.
+     * selector when a stopped process resumes. The time from that timer until the event loop reads its sockets has no
+     * bound.
      */
     private void holdStallUntilSocketsRead(long lagTicks) {
         unreadStallTicks = Math.max(unreadStallTicks, lagTicks);
-        long stall = ++stallCount;
+        long stallNumber = ++stallCount;
         runAfterSocketReads(() -> {
-            if (stall == stallCount) {
+            if (stallNumber == stallCount) {
                 unreadStallTicks = 0;
             }
         });
     }
 
     /**
-     * Returns the lag to expect, in ticks: the worst lag, halved for each second since then, or the lag of the current
-     * iteration if that is larger.
+     * Returns the lag to expect, in ticks: the worst lag, halved for each second since it occurred, or the lag of the
+     * current iteration if that is larger.
      */
     public long expectedTicks() {
         long now = clock.now();
@@ -109,8 +112,8 @@
      * Returns how long, in ticks, data that is read now may have waited for the event loop. Negative if the loop is on
      * time.
      *
-     * <p>This does not use the decayed worst lag, because a second stall within a second that is slightly shorter than
-     * the first one would not show in it.
+     * <p>This does not use the decayed worst lag, because that would not show a stall that follows another within a
+     * second and is slightly shorter.
      */
     public long readDelayTicks() {
         long now = clock.now();
--- a/sidecar/src/main/java/trestlegrade/eventloop/MonotonicClock.java
+++ b/sidecar/src/main/java/trestlegrade/eventloop/MonotonicClock.java
@@ -3,8 +3,8 @@
 /**
  * A clock that never steps: the Unix time at its creation, advanced by the monotonic timer.
  *
- * <p>Its unit is the <em>tick</em>, a tenth of a millisecond. Names of times in ticks end in {@code Ticks}, or in
- * {@code At} for points in time, except for {@code now}.
+ * <p>Its unit is the <em>tick</em>, a tenth of a millisecond. Most names of times in ticks end in {@code Ticks}, or in
+ * {@code At} for points in time.
  */
 public class MonotonicClock {
     public static final long TICKS_PER_MILLI = 10;
--- a/sidecar/src/main/java/trestlegrade/eventloop/TimerRoundingIoHandler.java
+++ b/sidecar/src/main/java/trestlegrade/eventloop/TimerRoundingIoHandler.java
@@ -11,8 +11,8 @@
 /**
  * An I/O handler of Netty that rounds the wait for the next timer up to whole milliseconds.
  *
- * <p>A selector waits in whole milliseconds, and Netty rounds to the nearest. With up to half a millisecond left, it
- * polls the selector without a wait until the timer is due, so that an idle event loop uses processor time. With
+ * <p>A selector waits in whole milliseconds, and Netty rounds to the nearest one. With up to half a millisecond left,
+ * Netty polls the selector without a wait until the timer is due, and an idle event loop uses processor time. With
  * rounding up, a timer runs at most one millisecond late.
  */
 public final class TimerRoundingIoHandler implements IoHandler {
--- a/sidecar/src/main/java/trestlegrade/inbound/BoundedListener.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BoundedListener.java
@@ -15,7 +15,9 @@
  * event loop.
  */
 final class BoundedListener extends NioServerSocketChannel {
-    /** The delay after a failed accept: long enough not to spin, and short enough not to delay responses. */
+    /**
+     * The delay after a failed accept. It is long enough to avoid a busy loop and short enough not to delay responses.
+     */
     private static final long ACCEPT_RETRY_DELAY_MILLIS = 10;
 
     private static final int MAX_ACCEPTS_PER_READ = 64;
@@ -26,15 +28,15 @@
     private final DescriptorBudget descriptors;
     private final Consumer<IOException> onAcceptFailed;
     private int acceptCount;
-    /** How often the event loop has found a client in the backlog. */
+    /** The number of times that the event loop has found a client in the backlog. */
     private long readinessCount;
     /** Whether the latest accept failed, so that a client may still wait in the backlog. */
     private boolean lastAcceptFailed;
-    /** The {@link System#nanoTime()} since when a client may have been waiting that could not be accepted. */
+    /** The {@link System#nanoTime()} from which a client that could not be accepted may have been waiting. */
     private long waitingSinceNanos = NO_CLIENT_WAITING;
 
     /** {@code onAcceptFailed} is called for each accept that the operating system refuses. */
-    @SuppressWarnings("deprecation") // The replacement of the setter would replace the receive buffer allocator.
+    @SuppressWarnings("deprecation") // The alternative to this setter would replace the receive buffer allocator.
     BoundedListener(DescriptorBudget descriptors, Consumer<IOException> onAcceptFailed) {
         this.descriptors = descriptors;
         this.onAcceptFailed = onAcceptFailed;
@@ -49,7 +51,8 @@
      */
     void closeOnceDrained(MonotonicClock clock, long deadline, Runnable onClosed) {
         int acceptCountBefore = acceptCount;
-        // A descriptor released during the check goes to a client that already waits, so the backlog is not drained.
+        // If all descriptors are in use now, one that is released during the check goes to a client that already waits,
+        // so the backlog does not count as drained.
         boolean exhausted = descriptors.isExhausted();
         afterNextPoll(() -> {
             boolean drained =
@@ -80,10 +83,10 @@
         while (client != null) {
             accepted.add(newConnection(client));
             count++;
-            boolean more = waitingSinceNanos != NO_CLIENT_WAITING
+            boolean acceptMore = waitingSinceNanos != NO_CLIENT_WAITING
                     && count < MAX_ACCEPTS_PER_READ
                     && !descriptors.isExhausted();
-            client = more ? accept() : null;
+            client = acceptMore ? accept() : null;
         }
         if (count > 0 && waitingSinceNanos != NO_CLIENT_WAITING) {
             clearWaitIfBacklogEmpty();
--- a/sidecar/src/main/java/trestlegrade/inbound/BoundedTransport.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/BoundedTransport.java
@@ -66,11 +66,11 @@
      * {@code onClosed} is called on the listener's event loop, or immediately if there is no listener.
      */
     public void closeListener(MonotonicClock clock, long deadline, Runnable onClosed) {
-        BoundedListener open = listener;
-        if (open == null) {
+        BoundedListener currentListener = listener;
+        if (currentListener == null) {
             onClosed.run();
         } else {
-            open.eventLoop().execute(() -> open.closeOnceDrained(clock, deadline, onClosed));
+            currentListener.eventLoop().execute(() -> currentListener.closeOnceDrained(clock, deadline, onClosed));
         }
     }
 
--- a/sidecar/src/main/java/trestlegrade/inbound/ClientConnection.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ClientConnection.java
@@ -55,7 +55,7 @@
 
     /**
      * When the head of the latest request was read or the latest response was sent, whichever is later. Before the
-     * first request, when the connection was accepted.
+     * first request, it is the time at which the connection was accepted.
      */
     long lastUsedAt() {
         return lastUsedAt;
@@ -93,7 +93,9 @@
         return isReading() || hasOpenTransaction();
     }
 
-    /** Whether the connection has served no transaction and no request is open, being read or partially received. */
+    /**
+     * Whether the connection has served no transaction and no request on it is open, being read or partially received.
+     */
     boolean isUnused() {
         return transactionCount == 0 && !isBusy() && !decoder.isPartial();
     }
@@ -146,7 +148,10 @@
         transactionCount++;
     }
 
-    /** Sends a response. Closes the connection after the last one, because Vert.x would leave it open. */
+    /**
+     * Sends a response. If it is the last one, closes the connection once it is written, because Vert.x would leave the
+     * connection open.
+     */
     void respond(HttpServerResponse response, int status, Buffer body, long now) {
         send(response, status, body, now);
         if (lastResponseSent) {
--- a/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ClientConnections.java
@@ -22,7 +22,7 @@
     /** One in this many descriptors is reserved for responding on connections that cannot be kept open. */
     private static final int RESERVED_DIVISOR = 8;
     /**
-     * No connection is kept alive while more than one in this many descriptors is in use. Applications hold about a
+     * Connections are kept alive only while at most one in this many descriptors is in use. Applications hold about a
      * third of the descriptors. If they open a connection for each request, kept-alive connections would leave them
      * none.
      */
@@ -55,9 +55,9 @@
         this.descriptors = descriptors;
         this.lag = lag;
         this.onClientDisconnected = onClientDisconnected;
-        Collection<ClientConnection> all = Collections.unmodifiableCollection(open.values());
-        sweeper = new IdleConnectionSweeper(vertx, clock, counters, lag, all);
-        evictor = new ConnectionEvictor(vertx, clock, descriptors, lag, all);
+        Collection<ClientConnection> openView = Collections.unmodifiableCollection(open.values());
+        sweeper = new IdleConnectionSweeper(vertx, clock, counters, lag, openView);
+        evictor = new ConnectionEvictor(vertx, clock, descriptors, lag, openView);
         Context context = vertx.getOrCreateContext();
         descriptors.onExhausted(() -> context.runOnContext(v -> evictor.start()));
     }
@@ -71,8 +71,8 @@
     }
 
     /** Returns the state of a connection, or null once it has ended. */
-    ClientConnection get(HttpConnection connection) {
-        return open.get(connection);
+    ClientConnection get(HttpConnection http) {
+        return open.get(http);
     }
 
     /** Called when a connection has been accepted. */
@@ -89,9 +89,9 @@
     private void ended(HttpConnection http, ClientConnection connection) {
         open.remove(http);
         connection.releaseBodyMemory();
-        ConnectionEndReason byClient =
+        ConnectionEndReason clientReason =
                 connection.isBusy() ? ConnectionEndReason.CLIENT_DISCONNECTED : ConnectionEndReason.CLIENT_CLOSED;
-        ConnectionEndReason reason = connection.endReason() == null ? byClient : connection.endReason();
+        ConnectionEndReason reason = connection.endReason() == null ? clientReason : connection.endReason();
         counters.connectionEnded(
                 "client",
                 reason.code(),
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Whether one request is served on this connection, which was accepted without capacity. This is so while other
-     * connections are unused: they hold the descriptors and will be evicted.
+     * Returns whether this connection serves one request although it was accepted without capacity. It does while other
+     * connections are unused, because these hold the descriptors and will be evicted.
      */
     boolean servesOneRequest(ClientConnection connection) {
         return connection.endReason() == ConnectionEndReason.NO_CAPACITY && evictor.hasUnusedConnection();
--- a/sidecar/src/main/java/trestlegrade/inbound/ConnectionEvictor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ConnectionEvictor.java
@@ -12,8 +12,8 @@
  */
 final class ConnectionEvictor {
     /**
-     * If the event loop is on time, what a client sends directly after connecting or after a response has been read
-     * within this time.
+     * The time within which an event loop that is on time reads what a client sends directly after it connects or
+     * receives a response.
      */
     static final long READ_GRACE_TICKS = 1_000;
 
@@ -72,7 +72,7 @@
     }
 
     private void evictUnused() {
-        // All sockets have been read since the latest stall, so its duration does not matter.
+        // All sockets have been read since the latest stall, so the stall's duration does not matter.
         long cutoff = clock.now() - READ_GRACE_TICKS - 2 * Math.min(lag.expectedTicks(), MAX_ORDINARY_LAG_TICKS);
         open.stream()
                 .filter(each -> each.isUnused() && each.lastActiveAt() <= cutoff && !each.isClosing())
--- a/sidecar/src/main/java/trestlegrade/inbound/IdleConnectionSweeper.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/IdleConnectionSweeper.java
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Returns whether the connection has been idle for too long or its request takes too long. A slow client may send
-     * its request while bytes keep arriving, up to the transfer limit. The limits also apply to a connection that is to
-     * end with its response, because it would hold one of the last descriptors.
+     * Returns whether the connection has been idle for too long or its request takes too long. A slow client may
+     * continue its request while bytes keep arriving, up to the transfer limit. The limits also apply to a connection
+     * that is to end with its response, because it would hold one of the last descriptors.
      */
     private boolean isOverdue(ClientConnection connection, long now) {
         StrictRequestDecoder decoder = connection.decoder();
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundHttpServer.java
@@ -29,7 +29,7 @@
     private static final String COUNTERS_TARGET = "/_counters";
     private static final int OK = 200;
     private static final int UNHEALTHY = 503;
-    /** More connections than the descriptors allow, so that no client is refused that connects during a stall. */
+    /** More connections than the descriptors allow, so that no client that connects during a stall is refused. */
     private static final int ACCEPT_BACKLOG = 1024;
     /** The fraction of the heap for request bodies; response bodies may use the same. */
     private static final double REQUEST_BODIES_HEAP_FRACTION = 0.3;
--- a/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/InboundRequest.java
@@ -23,7 +23,7 @@
         boolean isDisconnected();
 
         /** The transaction took effect. The future completes when the body is written or can no longer be written. */
-        Future<Void> committed(MultiMap head, Buffer body);
+        Future<Void> committed(MultiMap headers, Buffer body);
 
         /**
          * The transaction had no effect and may be retried after this delay in ticks; 0 means that no delay is stated.
@@ -81,13 +81,13 @@
         }
     }
 
-    /** Responds with an endpoint's response. The future completes when the response holds no more memory here. */
-    public Future<Void> commit(MultiMap headers, Buffer response, Counters counters) {
+    /** Responds with an endpoint's response. The future completes when the memory of its body is no longer needed. */
+    public Future<Void> commit(MultiMap headers, Buffer responseBody, Counters counters) {
         if (!finish(counters)) {
             return Future.succeededFuture();
         }
         counters.committed++;
-        return client.committed(headers, response);
+        return client.committed(headers, responseBody);
     }
 
     /**
--- a/sidecar/src/main/java/trestlegrade/inbound/LingeringClose.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/LingeringClose.java
@@ -12,14 +12,17 @@
 import trestlegrade.eventloop.MonotonicClock;
 
 /**
- * Closes a connection after a response without a reset. Closing a socket with unread bytes resets the connection, and
- * the client loses the part of the response that it has not read. Therefore a close, whether by this program or by the
- * library, shuts down only the output at first. Further input is read and discarded until the client closes its side or
- * sends nothing more.
+ * Closes a connection after a response, without resetting it. Closing a socket with unread bytes resets the connection,
+ * and the client loses the part of the response that it has not read. Therefore a close, whether by this program or by
+ * the library, shuts down only the output at first. Further input is read and discarded until the client closes its
+ * side or sends nothing more.
  */
 final class LingeringClose extends ChannelDuplexHandler {
-    private static final long TICKS_PER_MILLISECOND = 10;
-    /** Data that a client has already sent arrives within a few milliseconds; the descriptor is held this long. */
+    private static final long TICKS_PER_MILLI = 10;
+    /**
+     * The time without input after which a lingering connection is closed. Data that a client has already sent arrives
+     * within a few milliseconds, and the descriptor is held for at least this long.
+     */
     private static final long QUIET_TICKS = 1_000;
 
     private static final long MAX_LINGER_TICKS = 10_000;
@@ -70,7 +73,10 @@
         super.write(context, part, written);
     }
 
-    /** Closes an idle connection immediately. Both the library and this program may close the same connection. */
+    /**
+     * Lingers after a response, and closes an idle connection immediately. Both the library and this program may close
+     * the same connection.
+     */
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) throws Exception {
         if (lingering) {
@@ -108,6 +114,6 @@
                 context.close(promise);
             }
         });
-        context.executor().schedule(check, quietTicks / TICKS_PER_MILLISECOND, TimeUnit.MILLISECONDS);
+        context.executor().schedule(check, quietTicks / TICKS_PER_MILLI, TimeUnit.MILLISECONDS);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/inbound/ListenerBinder.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/ListenerBinder.java
@@ -12,11 +12,11 @@
 import trestlegrade.metrics.AsyncLog;
 
 /**
- * Binds the listener. If the system has no socket for it (EMFILE, ENFILE, ENOBUFS, ENOMEM), which is temporary, the
- * bind is retried for a while. An address that is in use is reported immediately.
+ * Binds the listener. If the system has no socket for the listener (EMFILE, ENFILE, ENOBUFS, ENOMEM), which is
+ * temporary, the bind is retried for a while. An address that is in use is reported immediately.
  */
 final class ListenerBinder {
-    /** Well below the time that a start may take. */
+    /** How long the bind is retried, which is well below the time that a start may take. */
     private static final long RETRY_WINDOW_TICKS = 100_000;
 
     private static final long RETRY_INTERVAL_MILLIS = 50;
--- a/sidecar/src/main/java/trestlegrade/inbound/RequestDeadline.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/RequestDeadline.java
@@ -10,7 +10,7 @@
  * ticks.
  */
 final class RequestDeadline {
-    /** Event loop lag reduces the remaining time by at most one part in this many. */
+    /** The time reserved for event loop lag is at most the remaining time divided by this. */
     private static final int MAX_LAG_DIVISOR = 4;
     /** Time reserved because an event loop that is on time may still stall while other processes use its core. */
     private static final long STALL_RESERVE_TICKS = 10_000;
--- a/sidecar/src/main/java/trestlegrade/inbound/RequestHead.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/RequestHead.java
@@ -3,7 +3,7 @@
 import io.vertx.core.MultiMap;
 
 /**
- * The part of a request that, in addition to its body, is forwarded unchanged.
+ * The method, the target and the forwarded fields of a request. Like its body, they reach the endpoint unchanged.
  *
  * @param method the HTTP method
  * @param uri the target, decoded as UTF-8
--- a/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
+++ b/sidecar/src/main/java/trestlegrade/inbound/TransactionAcceptor.java
@@ -134,7 +134,8 @@
             connection.setEndReason(ConnectionEndReason.SHUTTING_DOWN);
         }
         if (connection.transactionCount() == 1 && descriptors.clientWaitedRecently()) {
-            // The request may have waited in the backlog together with its client's disconnect, which is read first.
+            // The client's disconnect may have waited in the backlog together with the request, so all sockets are read
+            // first.
             lag.runAfterSocketReads(() -> executor.requestArrived(transaction));
         } else {
             executor.requestArrived(transaction);
--- a/sidecar/src/main/java/trestlegrade/metrics/Counters.java
+++ b/sidecar/src/main/java/trestlegrade/metrics/Counters.java
@@ -46,11 +46,11 @@
     public long connectionsRequested;
     /** Counter: attempts not sent because all file descriptors for connections were in use. */
     public long descriptorsExhausted;
-    /** Counter: lines received from watches of discovery. */
+    /** Counter: messages received from watches of discovery. */
     public long listLines;
     /** Counter: watches of discovery that were started. */
     public long watches;
-    /** Counter: lines received from watches of discovery that could not be used. */
+    /** Counter: messages received from watches of discovery that could not be used. */
     public long badLines;
     /** Counter: malformed entries of endpoint lists. */
     public long badEntries;
@@ -68,12 +68,15 @@
     private final Map<String, Long> connectionsEnded = new TreeMap<>();
     private final Map<String, LongSupplier> gauges = new TreeMap<>();
 
-    /** Counters: turns of the event loops, each of which polls the sockets. Only the event loops write them. */
+    /**
+     * Counters: iterations (turns) of the event loops, each of which polls the sockets. Only the event loops write
+     * them.
+     */
     public static final class Turns {
         private final LongAdder all = new LongAdder();
         private final LongAdder idle = new LongAdder();
 
-        /** Counts one turn that handled the given number of socket events. */
+        /** Counts one iteration that handled the given number of socket events. */
         public void count(int handled) {
             all.increment();
             if (handled == 0) {
@@ -81,7 +84,7 @@
             }
         }
 
-        /** Returns the number of turns so far, idle ones included. */
+        /** Returns the number of iterations so far, including idle ones. */
         public long all() {
             return all.sum();
         }
@@ -98,7 +101,9 @@
         attemptsByOutcome.merge(outcome, 1L, Long::sum);
     }
 
-    /** Records the duration of a committed attempt; a duration above the histogram's maximum is recorded as that. */
+    /**
+     * Records the duration of a committed attempt; a duration above the histogram's maximum is recorded as the maximum.
+     */
     public void recordAttemptDuration(long ticks) {
         attemptDurationTicks.recordValue(Math.min(ticks, attemptDurationTicks.getHighestTrackableValue()));
     }
@@ -125,6 +130,7 @@
      *
      * @param kind kind of the connection: client, pooled or watch
      * @param code reason for its end
+     * @param peer address of the other side, or the name of the endpoint
      * @param messages number of messages that it served
      * @param openTicks duration for which it was open
      */
@@ -154,9 +160,9 @@
 
     /** Returns the current values of the gauges, by name. */
     public JsonObject gauges() {
-        JsonObject now = new JsonObject();
-        gauges.forEach((name, value) -> now.put(name, value.getAsLong()));
-        return now;
+        JsonObject values = new JsonObject();
+        gauges.forEach((name, value) -> values.put(name, value.getAsLong()));
+        return values;
     }
 
     /** Returns all counters, gauges and histograms, for the target {@code /_counters} and the last line of the log. */
--- a/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/AttemptSender.java
@@ -17,7 +17,10 @@
  */
 public final class AttemptSender implements ConnectionPool.Listener {
 
-    /** Is notified of outcomes, also during {@link #send} and {@link #cancel}, so it must not call the sender. */
+    /**
+     * Is notified of the outcomes of attempts. This may happen within {@link #send} and {@link #cancel}, so the
+     * listener must not call the sender.
+     */
     public interface OutcomeListener {
         /** Called once for each attempt. */
         void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome);
@@ -32,7 +35,10 @@
     /** Request bodies may use the same fraction of the heap, and the rest is for large endpoint lists. */
     private static final double RESPONSE_BODIES_HEAP_FRACTION = 0.3;
 
-    /** A connection that took this many connect timeouts to open met a stall of this process, not a slow endpoint. */
+    /**
+     * A connection that was being opened for longer than this many connect timeouts was delayed by a stall of this
+     * process, not by a slow endpoint.
+     */
     private static final int STALLED_CONNECT_TIMEOUTS = 2;
 
     private static final int STATUS_OK = 200;
@@ -77,7 +83,7 @@
         return pool.size();
     }
 
-    /** Closes the idle connections to an endpoint that left, drains, moved or restarted. */
+    /** Closes the idle connections to an endpoint that was removed from the list, drains, moved or restarted. */
     public void closeIdle(Endpoint endpoint) {
         pool.closeIdle(endpoint);
     }
@@ -113,8 +119,8 @@
     }
 
     /**
-     * Ends an attempt as cancelled. From its request's deadline on, the attempt ends as timed out instead, because its
-     * own timer may run only just after this call.
+     * Ends an attempt as cancelled. From its request's deadline on, the attempt ends as timed out instead, because the
+     * attempt's own timer may run directly after this call.
      */
     public void cancel(OutboundAttempt attempt) {
         endAttempt(
@@ -131,7 +137,7 @@
 
     /**
      * Checks again what may have changed while the connection was opened: the attempt may have ended, its client may
-     * have disconnected, and the endpoint list may say that the endpoint drains or be too old.
+     * have disconnected, the endpoint may no longer accept requests, and the endpoint list may have become too old.
      */
     @Override
     public void connected(OutboundAttempt attempt, PooledConnection connection) {
@@ -215,10 +221,10 @@
     }
 
     private void checkProgress(OutboundAttempt attempt) {
-        long sincePartMillis = (clock.now() - attempt.lastPartTicks) / MonotonicClock.TICKS_PER_MILLI;
-        long leftMillis = pool.connectTimeoutMillis() - sincePartMillis;
-        if (!attempt.ended && leftMillis > 0) {
-            awaitNextPart(attempt, leftMillis);
+        long sinceLastPartMillis = (clock.now() - attempt.lastPartTicks) / MonotonicClock.TICKS_PER_MILLI;
+        long remainingMillis = pool.connectTimeoutMillis() - sinceLastPartMillis;
+        if (!attempt.ended && remainingMillis > 0) {
+            awaitNextPart(attempt, remainingMillis);
         } else {
             responseFailed(attempt, ConnectionEndReason.UNFINISHED);
         }
--- a/sidecar/src/main/java/trestlegrade/outbound/ConnectionEndReason.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ConnectionEndReason.java
@@ -6,7 +6,7 @@
     CONNECT_FAILED("connect-failed"),
     /** The connection was idle for longer than the endpoint keeps it open. */
     IDLE("idle"),
-    /** The endpoint left, drains, moved or restarted. */
+    /** The endpoint was removed from the list, drains, moved or restarted. */
     ENDPOINT_OUTDATED("gone"),
     /** The connection's descriptor was needed for another connection. */
     DESCRIPTOR_NEEDED("room"),
--- a/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ConnectionPool.java
@@ -39,14 +39,14 @@
     private static final long SWEEP_MILLIS = 500;
 
     /**
-     * An attempt that breaks sooner was written to a connection that the endpoint had already closed. An endpoint that
-     * has begun an attempt takes longer to break it.
+     * An attempt that breaks sooner than this was written to a connection that the endpoint had already closed. An
+     * endpoint that has begun an attempt takes longer to break it.
      */
     private static final long CLOSED_BEFORE_WRITE_TICKS = 5 * MonotonicClock.TICKS_PER_MILLI;
 
     /**
-     * Half of the quarantine. Excess bytes that arrive sooner cannot reach another attempt, because the quarantine goes
-     * on for as long again.
+     * Half of the quarantine. Excess bytes that arrive earlier in the quarantine cannot reach another attempt, because
+     * the quarantine lasts for at least as long again.
      */
     private static final long LATE_EXCESS_BYTES_TICKS =
             AttemptSender.QUARANTINE_MILLIS * MonotonicClock.TICKS_PER_MILLI / 2;
@@ -65,8 +65,8 @@
     private long connectTimeoutMillis;
     private long maxIdleTicks;
     /**
-     * Set to false as soon as the operating system refuses the option, because a refusal after each response would cost
-     * as much as the option itself.
+     * Whether the operating system supports the option for immediate acknowledgements. The option is not tried again
+     * once the system has refused it, because a refusal after each response would cost as much as the option itself.
      */
     private boolean quickAckSupported = true;
 
@@ -117,14 +117,14 @@
         }
         long now = loop.clock().now();
         boolean idempotent = attempt.request.metadata.idempotent();
-        for (Iterator<PooledConnection> each = idle.descendingIterator(); each.hasNext(); ) {
-            PooledConnection connection = each.next();
+        for (Iterator<PooledConnection> iterator = idle.descendingIterator(); iterator.hasNext(); ) {
+            PooledConnection connection = iterator.next();
             long idleTicks = now - connection.idleSinceTicks;
             if (connection.closed || connection.endReason != null || idleTicks > maxIdleTicks) {
-                each.remove();
+                iterator.remove();
                 connection.close(ConnectionEndReason.IDLE);
             } else if (connection.quarantinePassed && (idempotent || reuseAgeBound.allows(idleTicks))) {
-                each.remove();
+                iterator.remove();
                 return connection;
             }
         }
@@ -158,7 +158,7 @@
                 .onFailure(e -> {
                     descriptors.release();
                     long durationTicks = loop.clock().now() - requestedTicks;
-                    count(ConnectionEndReason.CONNECT_FAILED, endpoint, 0, durationTicks);
+                    countEnded(ConnectionEndReason.CONNECT_FAILED, endpoint, 0, durationTicks);
                     listener.connectFailed(attempt);
                 });
     }
@@ -205,7 +205,7 @@
             reason = connection.attempt == null ? ConnectionEndReason.ENDPOINT_CLOSED : ConnectionEndReason.BROKEN;
         }
         long openTicks = loop.clock().now() - connection.openedTicks;
-        count(reason, connection.endpoint, connection.attemptsServed, openTicks);
+        countEnded(reason, connection.endpoint, connection.attemptsServed, openTicks);
         Deque<PooledConnection> idle = idleByEndpoint.get(connection.endpoint.id);
         if (idle != null) {
             idle.remove(connection);
@@ -224,7 +224,7 @@
         }
     }
 
-    private void count(ConnectionEndReason reason, Endpoint endpoint, int attemptsServed, long openTicks) {
+    private void countEnded(ConnectionEndReason reason, Endpoint endpoint, int attemptsServed, long openTicks) {
         counters.connectionEnded("pooled", reason.logCode(), endpoint.name, attemptsServed, openTicks);
     }
 
@@ -232,8 +232,9 @@
      * Takes back a connection whose attempt has ended with a complete response, or that has served no attempt yet.
      *
      * <p>After a response, the connection is quarantined first. Endpoints may close a connection shortly after a
-     * response, or send a second response. An attempt that is written before this has been read is lost, or gets the
-     * response to another attempt. The event loop reads what has arrived by the first timer before it runs the second.
+     * response, or send a second response. An attempt that is written before the close or the second response has been
+     * read is lost, or gets the response to another attempt. The event loop reads what has arrived by the first of the
+     * two timers before it runs the second one.
      */
     void release(PooledConnection connection) {
         connection.attempt = null;
@@ -248,13 +249,13 @@
         idleOf(connection.endpoint).addLast(connection);
         quickAckSupported = quickAckSupported && connection.acknowledgeImmediately();
         connection.quarantinePassed = connection.attemptsServed == 0;
-        int quarantine = ++connection.quarantines;
-        vertx.setTimer(quarantineMillis, t -> vertx.setTimer(1, u -> endQuarantine(connection, quarantine)));
+        int quarantineNumber = ++connection.quarantines;
+        vertx.setTimer(quarantineMillis, t -> vertx.setTimer(1, u -> endQuarantine(connection, quarantineNumber)));
     }
 
-    private void endQuarantine(PooledConnection connection, int quarantine) {
+    private void endQuarantine(PooledConnection connection, int quarantineNumber) {
         boolean unused = connection.attemptsServed == 0;
-        if (unused || connection.quarantines != quarantine || connection.closed || connection.endReason != null) {
+        if (unused || connection.quarantines != quarantineNumber || connection.closed || connection.endReason != null) {
             return;
         }
         if (singleUse.contains(connection.endpoint, loop.clock().now())) {
@@ -273,7 +274,7 @@
         return idle;
     }
 
-    /** Closes the idle connections to an endpoint that left, drains, moved or restarted. */
+    /** Closes the idle connections to an endpoint that was removed from the list, drains, moved or restarted. */
     void closeIdle(Endpoint endpoint) {
         closeIdleSinceBefore(endpoint, ConnectionEndReason.ENDPOINT_OUTDATED, Long.MAX_VALUE);
         if (!endpoint.active) {
@@ -286,13 +287,13 @@
      * Closes the endpoint's connections that were already idle at the given time. Connections that have received a
      * response since then are known to lead to a live machine.
      */
-    void closeSuspect(Endpoint endpoint, long ticks) {
-        closeIdleSinceBefore(endpoint, ConnectionEndReason.SUSPECT, ticks);
+    void closeSuspect(Endpoint endpoint, long timeTicks) {
+        closeIdleSinceBefore(endpoint, ConnectionEndReason.SUSPECT, timeTicks);
     }
 
-    private void closeIdleSinceBefore(Endpoint endpoint, ConnectionEndReason reason, long ticks) {
+    private void closeIdleSinceBefore(Endpoint endpoint, ConnectionEndReason reason, long timeTicks) {
         Deque<PooledConnection> idle = idleByEndpoint.get(endpoint.id);
-        while (idle != null && !idle.isEmpty() && idle.peekFirst().idleSinceTicks < ticks) {
+        while (idle != null && !idle.isEmpty() && idle.peekFirst().idleSinceTicks < timeTicks) {
             idle.pollFirst().close(reason);
         }
     }
--- a/sidecar/src/main/java/trestlegrade/outbound/PooledConnection.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/PooledConnection.java
@@ -34,7 +34,7 @@
         void responsePartReceived(OutboundAttempt attempt);
     }
 
-    /** Applies only to the data that has arrived when it is set, so it is set again after each response. */
+    /** The option applies only to the data that has arrived when it is set, so it is set again after each response. */
     private static final ChannelOption<Boolean> QUICK_ACK = NioChannelOption.of(ExtendedSocketOptions.TCP_QUICKACK);
 
     final Endpoint endpoint;
@@ -49,7 +49,10 @@
     private Buffer body;
     /** When the connection last became idle. */
     long idleSinceTicks;
-    /** Whether no excess bytes were found when the event loop read the socket some time after the last response. */
+    /**
+     * Whether the connection may be used: it has served no attempt, or no excess bytes were found when the event loop
+     * read the socket some time after the last response.
+     */
     boolean quarantinePassed;
 
     int quarantines;
@@ -84,7 +87,8 @@
     }
 
     /**
-     * Makes the operating system acknowledge immediately what was read. Returns false if it cannot.
+     * Makes the operating system acknowledge immediately what was read. Returns false if the system does not support
+     * this.
      *
      * <p>By default the system delays the acknowledgement for 40 ms or more, and until then an endpoint without
      * TCP_NODELAY holds back what it writes after a response. A second response would then arrive only once the next
--- a/sidecar/src/main/java/trestlegrade/outbound/ReuseAgeBound.java
+++ b/sidecar/src/main/java/trestlegrade/outbound/ReuseAgeBound.java
@@ -3,9 +3,9 @@
 /**
  * Bounds how long a connection may have been idle before it serves a request that is not idempotent.
  *
- * <p>Endpoints may close idle connections sooner than they announce. A request that is written at that moment breaks
- * immediately and must not be retried, because it may have run. The bound falls to half of the idle time at which that
- * happened, and increases slowly again.
+ * <p>Endpoints may close idle connections sooner than they announce. A request that is written to a connection just as
+ * the endpoint closes it breaks immediately. It must not be retried, because it may have run. The bound falls to half
+ * of the idle time at which that happened, and increases slowly again.
  */
 final class ReuseAgeBound {
     /** Doubles the bound in about 14 sweeps. */
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyEventQueue.java
@@ -8,7 +8,7 @@
 
 /**
  * Queue of the events that the load balancing policy handles. Any thread may submit events. They run one after another
- * on the event loop, and all events of one turn see the same time.
+ * on the event loop, in batches. A batch ends when the queue is empty, and all events of one batch see the same time.
  */
 final class PolicyEventQueue {
     private final EventLoopContext loop;
@@ -20,7 +20,7 @@
     private final Queue<Runnable> endpointListEvents = new ConcurrentLinkedQueue<>();
 
     private final Queue<Runnable> events = new ConcurrentLinkedQueue<>();
-    private final AtomicBoolean turnScheduled = new AtomicBoolean();
+    private final AtomicBoolean batchScheduled = new AtomicBoolean();
     private long now;
 
     PolicyEventQueue(EventLoopContext loop, Consumer<RuntimeException> errorHandler) {
@@ -28,7 +28,7 @@
         this.errorHandler = errorHandler;
     }
 
-    /** Returns the time of the current turn, in ticks; it never decreases. Event loop only. */
+    /** Returns the time of the current batch, in ticks; it never decreases. Event loop only. */
     long now() {
         return now;
     }
@@ -45,13 +45,13 @@
 
     private void submitTo(Queue<Runnable> queue, Runnable event) {
         queue.add(event);
-        if (turnScheduled.compareAndSet(false, true)) {
-            loop.context().runOnContext(v -> loop.lag().runWhenCaughtUp(this::runTurn));
+        if (batchScheduled.compareAndSet(false, true)) {
+            loop.context().runOnContext(v -> loop.lag().runWhenCaughtUp(this::runBatch));
         }
     }
 
-    private void runTurn() {
-        turnScheduled.set(false);
+    private void runBatch() {
+        batchScheduled.set(false);
         now = Math.max(now, loop.clock().now());
         for (Runnable event = poll(); event != null; event = poll()) {
             try {
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyExecutor.java
@@ -24,8 +24,8 @@
  *
  * <p>Socket code reports events to this class. Each one is queued in a {@link PolicyEventQueue} and passed to the
  * {@link LoadBalancer} of the transaction's {@link PolicyGeneration}, and this class carries out the actions that the
- * load balancer asks for. Final responses are given here too, so that no attempt can be sent for a transaction after
- * its final response.
+ * load balancer asks for. Final responses are sent from here too, so that no attempt can be sent for a transaction
+ * after its final response.
  */
 public final class PolicyExecutor {
     private final EventLoopContext loop;
@@ -72,7 +72,8 @@
             LoadBalancer loadBalancer = generations.current().loadBalancer();
             loadBalancer.start(events.now());
             loadBalancer.onEndpointUpdates(events.now(), endpoints.applyList(lastKnownList, true), true, true);
-            // The load balancer asks for the watch in some membership modes only, but the list arrives by it in all.
+            // The load balancer asks for a watch only in some membership modes, but the list arrives by a watch in all
+            // of them.
             endpointListWatchStarter.run();
         });
     }
@@ -182,13 +183,13 @@
      * Reports an endpoint list, or a change of it, from discovery.
      *
      * @param entries entries in the format of discovery's protocol
-     * @param complete whether endpoints that are not among the entries have left
+     * @param snapshot whether the entries are all endpoints; otherwise they are those that changed
      */
-    public void applyEndpointList(JsonArray entries, boolean complete) {
+    public void applyEndpointList(JsonArray entries, boolean snapshot) {
         events.submitEndpointListEvent(() -> {
-            List<EndpointUpdate> updates = endpoints.applyList(entries, complete);
+            List<EndpointUpdate> updates = endpoints.applyList(entries, snapshot);
             long now = events.now();
-            generations.forEachLoadBalancer(each -> each.onEndpointUpdates(now, updates, complete, false));
+            generations.forEachLoadBalancer(each -> each.onEndpointUpdates(now, updates, snapshot, false));
         });
     }
 
@@ -261,8 +262,8 @@
     }
 
     /**
-     * Removes a request that is over and has no attempt in flight, and releases its memory. Called wherever a final
-     * response is given or an attempt ends, because either may come last; a missed call would leak the request and its
+     * Removes a request that is finished and has no attempt in flight, and releases its memory. Called wherever a final
+     * response is sent or an attempt ends, because either may come last; a missed call would leak the request and its
      * body.
      */
     private void releaseIfFinished(InboundRequest request) {
--- a/sidecar/src/main/java/trestlegrade/runtime/PolicyGenerations.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/PolicyGenerations.java
@@ -31,7 +31,7 @@
                         .sum();
     }
 
-    /** Has the next generation accept new transactions; the previous one is kept while it has open transactions. */
+    /** Makes the next generation accept new transactions. The previous one is kept while it has open transactions. */
     void replaceCurrent(PolicyGeneration next) {
         PolicyGeneration previous = current;
         current = next;
@@ -40,7 +40,10 @@
         }
     }
 
-    /** Called once for each transaction that a generation has accepted; drops a retiring one after its last. */
+    /**
+     * Called once for each transaction that a generation has accepted. Drops a retiring generation after its last
+     * transaction.
+     */
     void transactionEnded(PolicyGeneration generation) {
         generation.transactionEnded();
         if (!generation.hasOpenTransactions()) {
--- a/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/Sidecar.java
@@ -74,8 +74,8 @@
     /**
      * Starts all components, listens and warms up.
      *
-     * @return completes with the number of warm-up transactions once the sidecar reports itself healthy; fails if the
-     *     sidecar cannot listen
+     * @return a future that completes with the number of warm-up transactions once the sidecar reports itself healthy;
+     *     fails if the sidecar cannot listen
      */
     Future<Integer> start(Vertx vertx, Context context) {
         MonotonicClock clock = new MonotonicClock();
@@ -138,7 +138,7 @@
         log.add(() -> Logger.info("serve code=ready warm_up_requests={} after_ms={}", warmUpTransactions, startMillis));
     }
 
-    /** Registers the gauges of the current state; those that count what is open return to 0 once nothing is open. */
+    /** Registers the gauges of the current state; gauges that count what is open return to 0 once nothing is open. */
     private void registerGauges() {
         counters.registerGauge("transactions", policyExecutor::openTransactions);
         counters.registerGauge("held_transactions", policyExecutor::heldTransactions);
@@ -183,13 +183,13 @@
     }
 
     /**
-     * Begins the graceful shutdown on SIGTERM, during whose phases the sidecar still serves clients.
+     * Begins the graceful shutdown on SIGTERM. The sidecar still serves clients during the shutdown.
      *
-     * @param onDrained called when the process is to exit
+     * @param onEnded called, possibly several times, when the process is to end
      */
-    void drain(Runnable onDrained) {
+    void drain(Runnable onEnded) {
         int open = policyExecutor.openTransactions();
         log.add(() -> Logger.info("serve code=draining open={}", open));
-        inboundServer.shutDown(onDrained);
+        inboundServer.shutDown(onEnded);
     }
 }
--- a/sidecar/src/main/java/trestlegrade/runtime/SidecarProcess.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/SidecarProcess.java
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Serves until SIGTERM, which exits the process from within. Returns only if the sidecar could not start, with the
+     * Serves until SIGTERM, whose handler exits the process. Returns only if the sidecar could not start, with the
      * reason written to standard error or to the log.
      *
      * @param environment environment variables of the process; LB_CONFIG names the configuration file
@@ -65,8 +65,8 @@
                 config, environment, log, reloaded -> context.runOnContext(v -> sidecar.reload(reloaded)));
         reloadSignal.setReloadAction(reloader::reload);
         reportIgnoredSignals();
-        // SIGTERM is handled directly, and not by the shutdown hook alone, because the process is killed a fixed time
-        // after the signal, and each thread that the JVM runs between the signal and the hook may wait for a core.
+        // SIGTERM is handled directly, and not by the shutdown hook alone. The process is killed a fixed time after the
+        // signal, and each thread that the JVM runs between the signal and the hook may wait for a core.
         sun.misc.Signal.handle(new sun.misc.Signal("TERM"), signal -> shutDown(context));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(context)));
         await(startFailed);
--- a/sidecar/src/main/java/trestlegrade/runtime/StartupTraffic.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/StartupTraffic.java
@@ -25,7 +25,7 @@
     private static final String VALID_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
     private final List<ServerSocket> listeners = new ArrayList<>();
-    private final AtomicInteger responses = new AtomicInteger();
+    private final AtomicInteger responseCount = new AtomicInteger();
 
     /** Starts the endpoints on free ports. */
     StartupTraffic() throws IOException {
@@ -64,7 +64,7 @@
         try (connection) {
             byte[] buffer = new byte[BUFFER_BYTES];
             while (connection.getInputStream().read(buffer) >= 0) {
-                String response = responses.getAndIncrement() % 2 == 0 ? MALFORMED_RESPONSE : VALID_RESPONSE;
+                String response = responseCount.getAndIncrement() % 2 == 0 ? MALFORMED_RESPONSE : VALID_RESPONSE;
                 connection.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
             }
         }
--- a/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
+++ b/sidecar/src/main/java/trestlegrade/runtime/WarmUp.java
@@ -35,18 +35,19 @@
     /** Transactions per second at which the code is warm enough for any sidecar. */
     private static final double WARM_RATE_PER_SECOND = 500;
     /**
-     * Multiple of a sidecar's share of the contracted rate at which the code is warm enough for it, even if that is
-     * below {@link #WARM_RATE_PER_SECOND}, as in a large fleet. Allows for uneven traffic.
+     * The code is warm enough for a sidecar at this multiple of the sidecar's share of the contracted rate, even if the
+     * resulting rate is below {@link #WARM_RATE_PER_SECOND}, as in a large fleet. The multiple allows for uneven
+     * traffic.
      */
     private static final double PEAK_TO_CONTRACTED_RATE = 8;
-    /** Exceeds the 200 calls after which the JVM's first compiler (C1) compiles a method. */
+    /** The number exceeds the 200 calls after which the JVM's first compiler (C1) compiles a method. */
     private static final int MAX_TRANSACTIONS = 600;
 
     private static final long MAX_DURATION_TICKS = 6_000 * MonotonicClock.TICKS_PER_MILLI;
     private static final long TICKS_PER_SECOND = 1_000 * MonotonicClock.TICKS_PER_MILLI;
     private static final int CONCURRENCY = 4;
     private static final int BODY_BYTES = 500;
-    /** The minimum, because the inbound server sends nothing after a response. */
+    /** The minimum quarantine, because the inbound server sends nothing after a response. */
     private static final int QUARANTINE_MILLIS = 1;
 
     private final MonotonicClock clock;
@@ -61,7 +62,7 @@
     private long roundStartTicks;
     private int sent;
     private int ended;
-    private boolean warm;
+    private boolean sendingStopped;
 
     /** Creates a warm-up of the sidecar that listens as configured, with counters separate from the sidecar's. */
     public WarmUp(EventLoopContext loop, SidecarConfig config, AsyncLog log) {
@@ -122,7 +123,7 @@
         if (ended % TRANSACTIONS_PER_ROUND == 0) {
             endRound(clock.now());
         }
-        if (!warm) {
+        if (!sendingStopped) {
             sendNext();
         } else if (ended == sent) {
             attemptSender.close();
@@ -134,7 +135,7 @@
         if (now - roundStartTicks < maxWarmRoundTicks
                 || ended >= MAX_TRANSACTIONS
                 || now - startTicks > MAX_DURATION_TICKS) {
-            warm = true;
+            sendingStopped = true;
         }
         roundStartTicks = now;
     }
@@ -145,7 +146,7 @@
     }
 
     @Override
-    public Future<Void> committed(MultiMap head, Buffer responseBody) {
+    public Future<Void> committed(MultiMap headers, Buffer responseBody) {
         transactionEnded();
         return Future.succeededFuture();
     }
--- a/sidecar/src/test/java/trestlegrade/discovery/EndpointListParserTest.java
+++ b/sidecar/src/test/java/trestlegrade/discovery/EndpointListParserTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class EndpointListParserTest {
-    private static final List<JsonObject> LINES = List.of(
+    private static final List<JsonObject> OBJECTS = List.of(
             new JsonObject()
                     .put("index", 8)
                     .put("snapshot", true)
@@ -31,26 +31,26 @@
     @ParameterizedTest
     @ValueSource(strings = {"lines", "indented", "indented, CRLF", "no space between", "empty lines between"})
     void passesOnEachObjectWithItsLastByte(String layout) {
-        List<byte[]> parts = new ArrayList<>();
-        for (JsonObject line : LINES) {
-            String text = layout.startsWith("indented") ? line.encodePrettily() : line.encode();
+        List<byte[]> encodedObjects = new ArrayList<>();
+        for (JsonObject object : OBJECTS) {
+            String text = layout.startsWith("indented") ? object.encodePrettily() : object.encode();
             String between = switch (layout) {
                 case "no space between" -> "";
                 case "empty lines between" -> "\n\n \r\n\n";
                 default -> "\n";
             };
-            parts.add(((layout.contains("CRLF") ? text.replace("\n", "\r\n") : text) + between)
+            encodedObjects.add(((layout.contains("CRLF") ? text.replace("\n", "\r\n") : text) + between)
                     .getBytes(StandardCharsets.UTF_8));
         }
-        for (int length = 1; length < parts.get(0).length + 2; length++) {
+        for (int length = 1; length < encodedObjects.get(0).length + 2; length++) {
             List<JsonObject> received = new ArrayList<>();
             EndpointListParser parser = new EndpointListParser(received::add);
-            for (int i = 0; i < parts.size(); i++) {
-                byte[] part = parts.get(i);
-                for (int at = 0; at < part.length; at += length) {
-                    parser.read(Buffer.buffer(part).slice(at, Math.min(part.length, at + length)));
+            for (int i = 0; i < encodedObjects.size(); i++) {
+                byte[] encoded = encodedObjects.get(i);
+                for (int at = 0; at < encoded.length; at += length) {
+                    parser.read(Buffer.buffer(encoded).slice(at, Math.min(encoded.length, at + length)));
                 }
-                assertEquals(LINES.subList(0, i + 1), received, "split every " + length + " bytes");
+                assertEquals(OBJECTS.subList(0, i + 1), received, "split every " + length + " bytes");
             }
         }
     }
--- a/sidecar/src/test/java/trestlegrade/discovery/EndpointRegistryTest.java
+++ b/sidecar/src/test/java/trestlegrade/discovery/EndpointRegistryTest.java
@@ -15,7 +15,7 @@
 import trestlegrade.metrics.Counters;
 import trestlegrade.policy.endpoint.EndpointUpdate;
 
-/** How entries of the endpoint list change the registered endpoints, without sockets. */
+/** Tests how entries of the endpoint list change the registered endpoints, without sockets. */
 class EndpointRegistryTest {
 
     /**
@@ -81,7 +81,7 @@
         assertEquals(1, registry.all().size());
     }
 
-    /** An endpoint without an entry in a snapshot has left; one with a malformed entry has not. */
+    /** An endpoint without an entry in a snapshot is removed; one with a malformed entry is not. */
     @Test
     void aSnapshotRemovesEndpointsWithoutAnEntry() {
         List<String> outdated = new ArrayList<>();
--- a/sidecar/src/test/java/trestlegrade/inbound/BoundedTransportTest.java
+++ b/sidecar/src/test/java/trestlegrade/inbound/BoundedTransportTest.java
@@ -65,7 +65,8 @@
             Await.eventually(descriptors::clientWaitedRecently);
             EventLoop loop = loops.next();
             loop.execute(() -> {
-                // These tasks are due in the same event loop turns as the listener's two polls, directly before them.
+                // These tasks are due in the same event loop iterations as the listener's two polls, directly before
+                // them.
                 loop.schedule(
                         () -> {
                             loop.schedule(descriptors::release, 1, TimeUnit.MILLISECONDS);
--- a/sidecar/src/test/java/trestlegrade/outbound/ReuseAgeBoundTest.java
+++ b/sidecar/src/test/java/trestlegrade/outbound/ReuseAgeBoundTest.java
@@ -11,14 +11,14 @@
  * such connections.
  */
 class ReuseAgeBoundTest {
-    private static final long MIN = 600;
-    private static final long MAX = 80_000;
+    private static final long MIN_TICKS = 600;
+    private static final long MAX_TICKS = 80_000;
 
-    private final ReuseAgeBound bound = new ReuseAgeBound(MIN, MAX);
+    private final ReuseAgeBound bound = new ReuseAgeBound(MIN_TICKS, MAX_TICKS);
 
     @Test
     void fallsToHalfOfTheIdleTimeAtWhichAConnectionBroke() {
-        assertTrue(bound.allows(MAX - 1));
+        assertTrue(bound.allows(MAX_TICKS - 1));
         bound.recordBreakAfterIdle(20_000);
         assertTrue(bound.allows(9_999));
         assertFalse(bound.allows(10_000));
@@ -29,21 +29,21 @@
     @Test
     void staysAtItsMinimum() {
         bound.recordBreakAfterIdle(2);
-        assertTrue(bound.allows(MIN - 1));
-        assertFalse(bound.allows(MIN));
+        assertTrue(bound.allows(MIN_TICKS - 1));
+        assertFalse(bound.allows(MIN_TICKS));
     }
 
     @Test
     void growsBackToItsMaximum() {
         bound.recordBreakAfterIdle(2);
         for (int sweep = 0; sweep < 15; sweep++) {
-            bound.grow(MAX);
+            bound.grow(MAX_TICKS);
         }
-        assertTrue(bound.allows(2 * MIN));
+        assertTrue(bound.allows(2 * MIN_TICKS));
         for (int sweep = 0; sweep < 200; sweep++) {
-            bound.grow(MAX);
+            bound.grow(MAX_TICKS);
         }
-        assertTrue(bound.allows(MAX - 1));
-        assertFalse(bound.allows(MAX));
+        assertTrue(bound.allows(MAX_TICKS - 1));
+        assertFalse(bound.allows(MAX_TICKS));
     }
 }
--- a/sidecar/src/test/java/trestlegrade/runtime/PolicyEventQueueTest.java
+++ b/sidecar/src/test/java/trestlegrade/runtime/PolicyEventQueueTest.java
@@ -20,7 +20,7 @@
  */
 class PolicyEventQueueTest {
     private long now = 1_000;
-    private final List<Handler<Void>> turns = new ArrayList<>();
+    private final List<Handler<Void>> batches = new ArrayList<>();
     private final List<String> order = new ArrayList<>();
     private final List<RuntimeException> errors = new ArrayList<>();
     private final PolicyEventQueue queue = new PolicyEventQueue(loop(), errors::add);
@@ -43,13 +43,13 @@
         return (Context) Proxy.newProxyInstance(
                 Context.class.getClassLoader(), new Class<?>[] {Context.class}, (proxy, method, arguments) -> {
                     assertEquals("runOnContext", method.getName());
-                    turns.add((Handler<Void>) arguments[0]);
+                    batches.add((Handler<Void>) arguments[0]);
                     return null;
                 });
     }
 
-    private void runTurn() {
-        turns.remove(0).handle(null);
+    private void runBatch() {
+        batches.remove(0).handle(null);
     }
 
     @Test
@@ -57,8 +57,8 @@
         queue.submit(() -> order.add("first"));
         queue.submit(() -> order.add("second"));
         queue.submitEndpointListEvent(() -> order.add("list"));
-        assertEquals(1, turns.size(), "one turn for all queued events");
-        runTurn();
+        assertEquals(1, batches.size(), "one turn for all queued events");
+        runBatch();
         assertEquals(List.of("list", "first", "second"), order);
     }
 
@@ -69,7 +69,7 @@
             queue.submitEndpointListEvent(() -> order.add("list"));
         });
         queue.submit(() -> order.add("second"));
-        runTurn();
+        runBatch();
         assertEquals(List.of("first", "list", "second"), order);
     }
 
@@ -80,7 +80,7 @@
             throw error;
         });
         queue.submit(() -> order.add("second"));
-        runTurn();
+        runBatch();
         assertEquals(List.of(error), errors);
         assertEquals(List.of("second"), order);
     }
@@ -93,10 +93,10 @@
             now += 7;
         });
         queue.submit(() -> times.add(queue.now()));
-        runTurn();
+        runBatch();
         now -= 100;
         queue.submit(() -> times.add(queue.now()));
-        runTurn();
+        runBatch();
         assertEquals(List.of(1_000L, 1_000L, 1_000L), times);
     }
 }
--- a/sidecar/src/test/java/trestlegrade/runtime/WarmUpTest.java
+++ b/sidecar/src/test/java/trestlegrade/runtime/WarmUpTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** When the warm-up ends. */
+/** Tests when the warm-up ends. */
 class WarmUpTest {
     /** Maximum duration of a round of fifty transactions, in ticks, by the contracted transactions per second. */
     @ParameterizedTest
